--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,16 +1,16 @@
-//! Which sample of a trainer's step is drafted next, and on which engine.
+//! Decides which sample of a trainer's step starts next and on which engine.
 //!
-//! **Load:** steps of hundreds of samples arrive at once; engines differ in speed,
-//! hold prompts in limited memory, change their weights in turn, crash and stall.
-//! **Without it:** samples of one prompt are spread over all engines and each
-//! reads it anew; a slow engine holds the last samples of every group; an engine
-//! whose memory is full throws out running samples; a sample that an engine cannot
-//! take blocks those behind it. **How:** steps go in order of arrival, samples in
-//! the order of their ranks. A sample goes to the fastest engine with room, and the
-//! longest samples start first, so that they get the fastest engines. An engine that
-//! refused, failed or fell silent is left alone for a while. A sample that runs on a
-//! slow or silent engine while another one has room goes on there: its text so far is
-//! kept, and an engine reads it again within milliseconds.
+//! Steps of hundreds of samples arrive at once. Engines differ in speed, have limited memory, load
+//! new weights in turn, crash and stall. Without placement, samples of one prompt spread over all
+//! engines and each processes the prompt again; a slow engine holds the last samples of every
+//! group; an engine whose memory is full evicts running samples; and a sample that no engine can
+//! take blocks those behind it.
+//!
+//! Steps run in order of arrival, samples by rank. A sample goes to the fastest engine with a free
+//! slot; the longest samples start first and so get the fastest engines. An engine that refused,
+//! failed or went silent is paused. A sample on a slow or silent engine moves to another one with a
+//! free slot. It keeps the text generated so far, which the new engine processes within
+//! milliseconds.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -22,159 +22,158 @@
 use crate::work::ToldLoad;
 use crate::work::UpstreamKey;
 
-/// Names one sample for as long as the process lives; grows with each offer.
+/// Identifies a sample within this process; ascends in order of creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DraftKey(pub u64);
 
-/// Names a model for as long as the process lives.
+/// Identifies a model within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelKey(pub u32);
 
-/// A sample that asks for an engine.
+/// A sample that needs an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draft {
-    /// Its name.
+    /// Identifies the sample.
     pub key: DraftKey,
     /// Hash of its group, whose samples share their prompt.
     pub group: u64,
-    /// Model that is to make it.
+    /// Model that generates it.
     pub model: ModelKey,
-    /// Oldest version of the weights that may make it.
+    /// Oldest version of the weights that may generate it.
     pub min_version: u64,
-    /// Memory that it is expected to take at its end.
+    /// KV-cache tokens that it is expected to hold at its end.
     pub tokens: u32,
-    /// Order among the samples that wait; the lowest goes first.
+    /// Position among waiting samples; the lowest goes first.
     pub rank: u64,
-    /// Number of events that earlier runs have produced.
+    /// Number of events that its earlier runs have generated.
     pub drafted: u32,
 }
 
-/// What the placement is told of one engine.
+/// State of one engine, as input to the placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// Its name.
+    /// Identifies the engine.
     pub key: UpstreamKey,
-    /// Samples that it runs at once.
+    /// Samples that it runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Size of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Model that it is to serve; others only as far as it has room.
+    /// Model assigned to it; other models only get what room is left.
     pub model: Option<ModelKey>,
-    /// Versions of the models that it has, sorted by model.
+    /// Versions of the models that it has loaded, sorted by model.
     pub versions: Vec<(ModelKey, u64)>,
 }
 
-/// How a draft on an engine ended.
+/// How the run of a sample on an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DraftEnding {
-    /// It went to its end.
+    /// The sample is complete.
     Done,
-    /// The engine did not run it: it is full or changes its weights.
+    /// The engine did not run it: it is full or loads weights.
     Refused,
-    /// The engine failed, broke off or could not be reached.
+    /// The engine failed, closed the stream early or could not be reached.
     Failed,
-    /// No one wants it any more.
+    /// The sample is no longer wanted on this engine.
     Cancelled,
 }
 
-/// Why a sample is to leave its engine.
+/// Why a sample moves to another engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum MoveReason {
-    /// The engine has produced no events for too long.
+    /// The engine has sent no events for too long.
     Silent,
-    /// Another engine is faster. Holds the expected times of the rest; `None` if the engine
-    /// does not report its speed.
+    /// Another engine is faster. Holds the expected remaining times; `None` if the engine does not
+    /// report its speed.
     Slow(Option<Rest>),
 }
 
 /// A sample that is to be moved to another engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Move {
-    /// Its name.
+    /// Identifies the sample.
     pub key: DraftKey,
-    /// Why.
+    /// Why it moves.
     pub reason: MoveReason,
 }
 
-/// An engine that refused is asked again after this: a change of weights takes most
-/// of a second, and a refusal costs a few milliseconds of one sample.
+/// Pause of an engine that refused a sample: loading weights takes most of a second, and a refusal
+/// costs one sample a few milliseconds.
 const REFUSED_PAUSE: Duration = Duration::from_millis(200);
 
-/// An engine that failed is asked again after this: a restart takes seconds, and
-/// one sample that tries in vain loses a round trip.
+/// Pause of an engine that failed: a restart takes seconds, and a failed attempt costs one sample a
+/// round trip.
 const FAILED_PAUSE: Duration = Duration::from_secs(1);
 
-/// A full engine makes events slower by this part: by its size, and by the prompts
-/// that its other samples hold in memory.
-const FULL_SLOWER: f64 = 0.25;
+/// Fraction by which events take longer on a full engine, because of the number of its samples and
+/// the prompts that they hold in memory.
+const FULL_LOAD_SLOWDOWN: f64 = 0.25;
 
-/// The group's prompt on an engine is worth this part of its speed: reading it again takes
-/// little beside a sample.
-const PROMPT_BONUS: f64 = 0.03;
+/// Score bonus of an engine that has the prompt of the sample's group. It is small because
+/// processing the prompt again is short compared with a sample.
+const CACHED_PROMPT_BONUS: f64 = 0.03;
 
-/// An engine that is to serve another model costs this part of its speed: that
-/// model's samples come to it from another node, which does not know of ours.
-const OTHER_MODEL: f64 = 0.4;
+/// Score penalty of an engine that is assigned to another model: other nodes send that model's
+/// samples there without knowing of this node's.
+const OTHER_MODEL_PENALTY: f64 = 0.4;
 
-/// Part that one event moves an engine's mean time per event: with eight samples at
-/// once a change of speed shows after some two events of each.
-const SPEED_STEP: f64 = 0.1;
+/// Weight of one event in an engine's mean time per event. With eight concurrent samples a change
+/// of speed shows after about two events of each.
+const EVENT_TIME_WEIGHT: f64 = 0.1;
 
-/// A pause of more than this many usual ones tells of a load or a crash, not of speed.
-const SILENCE: f64 = 6.0;
+/// A gap of more than this many median event times indicates a weight load or a crash, not a slow
+/// engine.
+const SILENCE_FACTOR: f64 = 6.0;
 
-/// An engine is silent for a sample after this time at least: longer than a slow engine's
-/// pause between two events.
-const SILENT_AT_LEAST: Duration = Duration::from_millis(300);
+/// Shortest gap that counts as silence: longer than the time between two events on a slow engine.
+const MIN_SILENCE: Duration = Duration::from_millis(300);
 
-/// A sample without a first event is left there for this long at least: prompts are read
-/// in milliseconds, and samples queue only where a node does not know of the others'.
-const FIRST_EVENT_WITHIN: Duration = Duration::from_millis(700);
+/// Least time that a sample waits for its first event: prompts are processed in milliseconds, and
+/// samples queue at an engine only where a node does not know of other nodes' samples.
+const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The same in usual pauses between events, for engines whose events take long.
-const FIRST_EVENT_PAUSES: f64 = 14.0;
+/// The same as a multiple of the median event time, for engines with long event times.
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 14.0;
 
-/// An engine from which nothing comes for so many usual pauses, and for
-/// [`EVENT_PATIENCE_LEAST`], is given up: a load of weights stands still for some twenty.
-const EVENT_PATIENCE_PAUSES: f64 = 40.0;
+/// A run is given up after this many median event times without an event, but not before
+/// [`MIN_EVENT_TIMEOUT`]: a weight load stalls an engine for about twenty.
+const EVENT_TIMEOUT_FACTOR: f64 = 40.0;
 
-/// Least time after which it is given up.
-const EVENT_PATIENCE_LEAST: Duration = Duration::from_secs(2);
+/// Least time without an event after which a run is given up.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A sample that heard nothing waits twice as long at its next engine, up to so many
-/// doublings: before two events have come from any engine, nothing tells how long one
-/// takes, and a limit shorter than that would never let one come.
-const PATIENCE_DOUBLINGS: u32 = 6;
+/// The timeout doubles with each engine that sent a sample nothing, up to this many times. Until
+/// some engine has sent two events the event time is unknown, and a timeout shorter than it would
+/// never let an event arrive.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 6;
 
-/// A sample goes on at an engine that is faster by this factor. The move costs little; a
-/// sample that has run for [`STAY_AT_LEAST`] is one of the long ones, which run for seconds.
-const FASTER_FACTOR: f64 = 1.4;
+/// A sample moves to an engine that is faster by this factor. The move costs little: a sample that
+/// has run for [`MIN_STAY`] is a long one, which runs for seconds.
+const MIN_SPEEDUP: f64 = 1.4;
 
-/// A sample stays this long before it is moved for speed, so that two estimates that
-/// change places do not send it back and forth, and short ones end where they are: each
-/// move opens a connection. It is the time on an engine that is slower by
-/// [`FASTER_FACTOR`]; on a slower one it is less.
-const STAY_AT_LEAST: Duration = Duration::from_millis(1_400);
+/// Least time before a sample is moved for speed, so that two fluctuating estimates do not send it
+/// back and forth and short samples finish where they are: each move opens a connection. Applies to
+/// an engine that is slower by [`MIN_SPEEDUP`] and is shorter on slower ones.
+const MIN_STAY: Duration = Duration::from_millis(1_400);
 
-/// Groups whose engine is remembered: those of a few open steps.
-const GROUPS_KEPT: usize = 512;
+/// Number of groups whose last engine is remembered: enough for a few open steps.
+const MAX_REMEMBERED_GROUPS: usize = 512;
 
-/// Number of samples moved for speed that are remembered: those of a few open steps.
-const MOVED_KEPT: usize = 2_048;
+/// Number of samples moved for speed that are remembered: enough for a few open steps.
+const MAX_REMEMBERED_MOVES: usize = 2_048;
 
-/// The engines' median time per event is worked out anew after this: it moves over
-/// seconds, and samples make thousands of events a second.
-const USUAL_KEPT: Duration = Duration::from_millis(100);
+/// Largest age of the median event time. It changes over seconds, while samples generate thousands
+/// of events per second.
+const MEDIAN_MAX_AGE: Duration = Duration::from_millis(100);
 
-/// From so many samples that wait on, the engines are ranked once for all of them, instead
-/// of a look at each engine for each sample.
-const RANKED_FROM: usize = 16;
+/// With at least this many waiting samples, engines are ranked once for all of them instead of
+/// being compared again for each sample.
+const MIN_WAITING_TO_RANK: usize = 16;
 
-/// Engines with room, the best one first, for the samples of one model that start at one time.
+/// Engines with free slots, best first, for samples of one model that start at the same time.
 #[derive(Debug)]
 struct Ranking {
     model: ModelKey,
-    /// Scores and places of engines, ascending.
+    /// Scores and indexes of engines, ascending.
     engines: Vec<(f64, usize)>,
 }
 
@@ -184,73 +183,74 @@
     in_flight: u32,
     tokens: u64,
     paused_until: Option<Instant>,
-    /// Mean time per event; `None` until a sample has ended there.
-    event_s: Option<f64>,
-    /// The load that it reported last, and when.
-    told: Option<(ToldLoad, Instant)>,
+    /// Mean time per event; `None` until two events of a sample have arrived from it.
+    mean_event_s: Option<f64>,
+    /// Last reported load, with the time of the report.
+    reported: Option<(ToldLoad, Instant)>,
     /// `None` until it has reported how long work takes on its VM.
     speed: Option<Speed>,
     /// Expected delay of a sample that starts now, caused by the disturbance of its VM (see
-    /// [`crate::speed`]), as a part of a usual sample's time.
-    delay: f64,
+    /// [`crate::speed`]), relative to the time of a typical one.
+    relative_delay: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Running {
-    draft: Draft,
+    sample: Draft,
     engine: UpstreamKey,
-    since: Instant,
+    started_at: Instant,
     last_event: Option<Instant>,
-    /// Events of the sample, those of earlier runs included.
+    /// Events of the sample, including those of earlier runs.
     events: u32,
-    /// It was told to leave.
-    leaving: bool,
+    /// It has been told to move.
+    is_leaving: bool,
 }
 
-/// Samples that wait and samples that run, of all steps on this VM.
+/// Waiting and running samples of all steps on this VM.
 #[derive(Debug, Default)]
 pub struct Placement {
     /// Sorted by key.
     engines: Vec<Engine>,
     /// Sorted by rank, then key.
     waiting: Vec<Draft>,
-    /// Sorted by draft.
+    /// Sorted by sample key.
     running: Vec<Running>,
     /// Sorted by group.
-    groups: Vec<GroupEngine>,
-    /// Samples that were started so far.
-    starts: u64,
-    usual: Usual,
-    /// Events of samples that have ended.
-    length: EventCounts,
+    group_engines: Vec<GroupEngine>,
+    /// Number of samples started so far.
+    start_count: u64,
+    event_times: EventTimes,
+    /// Event counts of samples that are complete.
+    event_counts: EventCounts,
     /// Samples that were moved for speed; sorted.
-    moved: Vec<DraftKey>,
-    /// Rankings that hold at this time, until something but a start changes them.
+    moved_for_speed: Vec<DraftKey>,
+    /// Time for which `rankings` are valid; `None` after any change other than a start.
     ranked_at: Option<Instant>,
     rankings: Vec<Ranking>,
 }
 
-/// The engine that read a group's prompt last.
+/// The last engine that processed a group's prompt.
 #[derive(Debug, Clone, Copy)]
 struct GroupEngine {
     group: u64,
     engine: UpstreamKey,
-    /// Number of the start by which it did.
+    /// Number of that start.
     start: u64,
 }
 
-/// Median of the engines' times per event.
+/// Times per event across engines, in seconds.
 #[derive(Debug, Clone, Copy, Default)]
-struct Usual {
-    event_s: Option<f64>,
-    /// Time per event of the fastest engine, in seconds.
+struct EventTimes {
+    /// Median over the engines.
+    median_s: Option<f64>,
+    /// Time of the fastest engine.
     fastest_s: Option<f64>,
-    /// When it was worked out.
-    at: Option<Instant>,
+    /// When the times were computed.
+    computed_at: Option<Instant>,
 }
 
 impl Placement {
-    /// Takes in the engines as they are now.
+    /// Replaces the list of engines; what is known of those that remain is kept.
     pub fn set_engines(&mut self, states: Vec<EngineState>) {
         self.ranked_at = None;
         let known = std::mem::take(&mut self.engines);
@@ -268,124 +268,129 @@
         self.engines = engines;
     }
 
-    /// A sample asks for an engine.
-    pub fn offer(&mut self, draft: Draft) {
-        let order = (draft.rank, draft.key);
+    /// Adds a sample to the waiting ones.
+    pub fn offer(&mut self, sample: Draft) {
+        let order = (sample.rank, sample.key);
         let at = self
             .waiting
-            .partition_point(|held| (held.rank, held.key) < order);
-        self.waiting.insert(at, draft);
+            .partition_point(|queued| (queued.rank, queued.key) < order);
+        self.waiting.insert(at, sample);
     }
 
-    /// No one wants these samples any more; those that run are finished by
+    /// Drops waiting samples that are no longer wanted. Running ones are ended with
     /// [`Placement::finish`].
     pub fn cancel(&mut self, unwanted: impl Fn(DraftKey) -> bool) {
-        self.waiting.retain(|draft| !unwanted(draft.key));
+        self.waiting.retain(|sample| !unwanted(sample.key));
     }
 
-    /// Sets new ranks of the waiting samples and sorts them; where `rank` returns `None`, a
-    /// sample keeps its rank.
+    /// Assigns new ranks to the waiting samples and sorts them. A sample for which `rank` returns
+    /// `None` keeps its rank.
     pub fn rank_waiting(&mut self, rank: impl Fn(DraftKey) -> Option<u64>) {
-        for draft in &mut self.waiting {
-            draft.rank = rank(draft.key).unwrap_or(draft.rank);
+        for sample in &mut self.waiting {
+            sample.rank = rank(sample.key).unwrap_or(sample.rank);
         }
-        self.waiting.sort_by_key(|draft| (draft.rank, draft.key));
+        self.waiting.sort_by_key(|sample| (sample.rank, sample.key));
     }
 
-    /// Median time that engines take for an event; `None` until one is known.
+    /// Median time per event across engines; `None` until one is known.
     #[must_use]
     pub fn usual_event(&self) -> Option<Duration> {
-        self.usual.event_s.map(Duration::from_secs_f64)
+        self.event_times.median_s.map(Duration::from_secs_f64)
     }
 
-    /// A sample that ran has ended, here for this engine.
+    /// Records that the run of a sample on its engine has ended.
     pub fn finish(&mut self, now: Instant, key: DraftKey, ending: DraftEnding) {
         let Ok(at) = self
             .running
-            .binary_search_by_key(&key, |held| held.draft.key)
+            .binary_search_by_key(&key, |running| running.sample.key)
         else {
             return;
         };
         self.ranked_at = None;
         let ended = self.running.remove(at);
-        let Some(at) = self.engine_at(ended.engine) else {
+        let Some(at) = self.engine_index(ended.engine) else {
             return;
         };
         let engine = &mut self.engines[at];
         engine.in_flight = engine.in_flight.saturating_sub(1);
-        engine.tokens = engine.tokens.saturating_sub(u64::from(ended.draft.tokens));
+        engine.tokens = engine.tokens.saturating_sub(u64::from(ended.sample.tokens));
         if ending == DraftEnding::Done {
-            self.length.learn(ended.events);
+            self.event_counts.learn(ended.events);
         }
         match ending {
             DraftEnding::Done | DraftEnding::Cancelled => {}
-            DraftEnding::Refused => engine.pause(now + REFUSED_PAUSE),
-            DraftEnding::Failed => engine.pause(now + FAILED_PAUSE),
+            DraftEnding::Refused => engine.pause_until(now + REFUSED_PAUSE),
+            DraftEnding::Failed => engine.pause_until(now + FAILED_PAUSE),
         }
     }
 
-    /// The next sample to start and its engine, if any.
+    /// Starts the next sample and returns it with its engine; `None` if no waiting sample can
+    /// start.
     pub fn next(&mut self, now: Instant) -> Option<(DraftKey, UpstreamKey)> {
         if self.waiting.is_empty() {
             return None;
         }
-        let usual = self.usual_event_s(now);
-        let is_ranked = self.waiting.len() >= RANKED_FROM;
+        let median_s = self.median_event_s(now);
+        let is_ranked = self.waiting.len() >= MIN_WAITING_TO_RANK;
         if is_ranked && self.ranked_at != Some(now) {
             self.rankings.clear();
             self.ranked_at = Some(now);
         }
-        let open = if is_ranked {
+        let candidates = if is_ranked {
             Vec::new()
         } else {
-            self.with_room(now)
+            self.with_free_slots(now)
         };
         let mut unplaced: Vec<Draft> = Vec::new();
         let mut placed = None;
         for at in 0..self.waiting.len() {
-            let draft = self.waiting[at];
-            // Without this each of hundreds of samples of a step that waits for its
-            // weights looked at every engine.
-            if unplaced.iter().any(|held| draft.asks_no_less(held)) {
+            let sample = self.waiting[at];
+            // Without this check, each of hundreds of samples of a step that waits for its weights
+            // is compared with every engine.
+            if unplaced.iter().any(|other| sample.requires_at_least(other)) {
                 continue;
             }
             let engine = if is_ranked {
-                self.best_ranked(now, &draft, usual)
+                self.best_ranked_engine(now, &sample, median_s)
             } else {
-                self.best_engine(&open, &draft, usual)
+                self.best_engine(&candidates, &sample, median_s)
             };
             if let Some(engine) = engine {
                 placed = Some((at, engine));
                 break;
             }
-            unplaced.push(draft);
+            unplaced.push(sample);
         }
         let (at, engine) = placed?;
-        let draft = self.waiting.remove(at);
-        self.start(now, draft, engine);
-        self.rank_again(now, engine, usual);
-        Some((draft.key, self.engines[engine].state.key))
+        let sample = self.waiting.remove(at);
+        self.start(now, sample, engine);
+        self.update_rankings(now, engine, median_s);
+        Some((sample.key, self.engines[engine].state.key))
     }
 
     /// Records the load that an engine reports.
-    pub fn note_load(&mut self, now: Instant, engine: UpstreamKey, told: ToldLoad) {
-        let Some(at) = self.engine_at(engine) else {
+    pub fn note_load(&mut self, now: Instant, engine: UpstreamKey, reported: ToldLoad) {
+        let Some(at) = self.engine_index(engine) else {
             return;
         };
-        self.engines[at].told = Some((told, now));
-        if let Some(percent) = told.time_percent {
+        self.engines[at].reported = Some((reported, now));
+        if let Some(percent) = reported.time_percent {
             self.engines[at].note_speed(now, percent);
-            self.engines[at].expect_delay(now, self.length.usual(), self.usual.event_s);
+            self.engines[at].update_delay(
+                now,
+                self.event_counts.usual(),
+                self.event_times.median_s,
+            );
             self.ranked_at = None;
         }
     }
 
-    /// A sample that runs has made an event.
+    /// Records that a running sample has generated an event.
     pub fn note_event(&mut self, now: Instant, key: DraftKey) {
-        let usual = self.usual_event_s(now);
+        let median_s = self.median_event_s(now);
         let Ok(at) = self
             .running
-            .binary_search_by_key(&key, |held| held.draft.key)
+            .binary_search_by_key(&key, |running| running.sample.key)
         else {
             return;
         };
@@ -393,305 +398,347 @@
         let before = running.last_event.replace(now);
         running.events += 1;
         let engine = running.engine;
-        if let (Some(before), Some(at)) = (before, self.engine_at(engine)) {
-            self.engines[at].learn(now, now.duration_since(before), usual);
+        if let (Some(before), Some(at)) = (before, self.engine_index(engine)) {
+            self.engines[at].record_event_time(now, now.duration_since(before), median_s);
         }
     }
 
-    /// Samples that run on a slow or silent engine while another one has room for
-    /// them. Each is named once; its run ends as [`DraftEnding::Cancelled`].
+    /// Samples to move from a slow or silent engine while another one has a free slot. Each is
+    /// returned once; its run ends as [`DraftEnding::Cancelled`].
     pub fn moves(&mut self, now: Instant) -> Vec<DraftKey> {
         let moves = self.moves_with_reasons(now);
-        moves.into_iter().map(|held| held.key).collect()
+        moves.into_iter().map(|each| each.key).collect()
     }
 
-    /// What [`Placement::moves`] names, with the reason of each move.
+    /// Like [`Placement::moves`], with the reason for each move.
     pub fn moves_with_reasons(&mut self, now: Instant) -> Vec<Move> {
-        // Room goes to samples that wait first.
+        // Waiting samples get free slots first.
         if !self.waiting.is_empty() {
             return Vec::new();
         }
-        let usual = self.usual_event_s(now);
-        let wants_to_leave = |at: &usize| self.wants_to_leave(now, &self.running[*at], usual);
-        let leaving: Vec<usize> = (0..self.running.len()).filter(wants_to_leave).collect();
-        if leaving.is_empty() {
+        let median_s = self.median_event_s(now);
+        let should_move = |at: &usize| self.should_move(now, &self.running[*at], median_s);
+        let to_move: Vec<usize> = (0..self.running.len()).filter(should_move).collect();
+        if to_move.is_empty() {
             return Vec::new();
         }
-        let mut room: Vec<u32> = self.engines.iter().map(|engine| engine.room(now)).collect();
+        let mut free_slots: Vec<u32> = self
+            .engines
+            .iter()
+            .map(|engine| engine.free_slots(now))
+            .collect();
         let mut by_speed: Vec<usize> = (0..self.engines.len()).collect();
         by_speed.sort_by(|a, b| {
-            let slowness = |at: &usize| self.engines[*at].slowness(usual);
+            let slowness = |at: &usize| self.engines[*at].slowness(median_s);
             slowness(a).total_cmp(&slowness(b))
         });
-        let mut moved = Vec::new();
-        for at in leaving {
+        let mut moves = Vec::new();
+        for at in to_move {
             let running = self.running[at];
-            let Some(from) = self.engine_at(running.engine) else {
+            let Some(from) = self.engine_index(running.engine) else {
                 continue;
             };
-            let silent = running.is_silent(now, usual);
-            let fast_enough = self.engines[from].slowness(usual) / FASTER_FACTOR;
+            let is_silent = running.is_silent(now, median_s);
+            let max_slowness = self.engines[from].slowness(median_s) / MIN_SPEEDUP;
             let to = by_speed.iter().copied().find(|to| {
                 let engine = &self.engines[*to];
-                let faster = silent
-                    || self.rest(now, &running, *to, usual).map_or_else(
-                        || engine.slowness(usual) <= fast_enough,
-                        |rest| rest.is_worth_moving(),
-                    );
-                *to != from && faster && room[*to] > 0 && engine.has_version_for(&running.draft)
+                let is_faster = is_silent
+                    || self
+                        .remaining_times(now, &running, *to, median_s)
+                        .map_or_else(
+                            || engine.slowness(median_s) <= max_slowness,
+                            |rest| rest.is_worth_moving(),
+                        );
+                *to != from
+                    && is_faster
+                    && free_slots[*to] > 0
+                    && engine.has_version_for(&running.sample)
             });
             let Some(to) = to else {
                 continue;
             };
-            room[to] -= 1;
-            self.running[at].leaving = true;
-            let reason = if silent {
-                self.engines[from].pause(now + FAILED_PAUSE);
+            free_slots[to] -= 1;
+            self.running[at].is_leaving = true;
+            let reason = if is_silent {
+                self.engines[from].pause_until(now + FAILED_PAUSE);
                 self.ranked_at = None;
                 MoveReason::Silent
             } else {
-                let rest = self.rest(now, &running, to, usual);
+                let rest = self.remaining_times(now, &running, to, median_s);
                 if rest.is_some() {
-                    self.remember_moved(running.draft.key);
+                    self.record_moved(running.sample.key);
                 }
                 MoveReason::Slow(rest)
             };
-            let key = running.draft.key;
-            moved.push(Move { key, reason });
+            let key = running.sample.key;
+            moves.push(Move { key, reason });
         }
-        moved
+        moves
     }
 
-    /// Expected time of the rest of a sample on its engine and on engine `to`; `None` if its
-    /// engine does not report its speed or a time is not known.
-    fn rest(&self, now: Instant, held: &Running, to: usize, usual: Option<f64>) -> Option<Rest> {
-        let here = &self.engines[self.engine_at(held.engine)?];
+    /// Expected remaining times of a sample on its engine and on engine `to`; `None` if its engine
+    /// does not report its speed or a time is not known.
+    fn remaining_times(
+        &self,
+        now: Instant,
+        running: &Running,
+        to: usize,
+        median_s: Option<f64>,
+    ) -> Option<Rest> {
+        let here = &self.engines[self.engine_index(running.engine)?];
         let own_s = here.speed?.own_s()?;
-        let events = self.length.rest(held.events);
-        let there_s = self.engines[to].rest_s(now, events, usual)?;
+        let events = self.event_counts.rest(running.events);
+        let there_s = self.engines[to].remaining_s(now, events, median_s)?;
         Some(Rest::with_move(own_s * events, there_s))
     }
 
-    fn remember_moved(&mut self, key: DraftKey) {
-        if let Err(at) = self.moved.binary_search(&key) {
-            self.moved.insert(at, key);
+    fn record_moved(&mut self, key: DraftKey) {
+        if let Err(at) = self.moved_for_speed.binary_search(&key) {
+            self.moved_for_speed.insert(at, key);
         }
-        if self.moved.len() > MOVED_KEPT {
-            self.moved.remove(0);
+        if self.moved_for_speed.len() > MAX_REMEMBERED_MOVES {
+            self.moved_for_speed.remove(0);
         }
     }
 
-    /// Samples to move away from the engines in `leaving` (sorted by key), at most as many as
-    /// all engines have room for. Each is returned once; its run ends as
+    /// Samples to move away from the engines in `leaving` (sorted by key), at most as many as all
+    /// engines have free slots for. Each is returned once; its run ends as
     /// [`DraftEnding::Cancelled`].
     pub fn moves_from(&mut self, now: Instant, leaving: &[UpstreamKey]) -> Vec<DraftKey> {
-        let room: u32 = self.engines.iter().map(|engine| engine.room(now)).sum();
-        let is_left = |running: &&mut Running| {
-            !running.leaving && leaving.binary_search(&running.engine).is_ok()
+        let free_slots: u32 = self
+            .engines
+            .iter()
+            .map(|engine| engine.free_slots(now))
+            .sum();
+        let is_affected = |running: &&mut Running| {
+            !running.is_leaving && leaving.binary_search(&running.engine).is_ok()
         };
-        let left = self.running.iter_mut().filter(is_left);
-        let moved = left.take(room as usize).map(|running| {
-            running.leaving = true;
-            running.draft.key
+        let affected = self.running.iter_mut().filter(is_affected);
+        let moved = affected.take(free_slots as usize).map(|running| {
+            running.is_leaving = true;
+            running.sample.key
         });
         moved.collect()
     }
 
-    /// Its engine is silent, or it has been there long enough to go on at a faster one.
-    fn wants_to_leave(&self, now: Instant, running: &Running, usual: Option<f64>) -> bool {
-        if running.leaving {
+    /// Whether the sample's engine is silent, or the sample may move to a faster one.
+    fn should_move(&self, now: Instant, running: &Running, median_s: Option<f64>) -> bool {
+        if running.is_leaving {
             return false;
         }
-        let Some(from) = self.engine_at(running.engine) else {
+        let Some(from) = self.engine_index(running.engine) else {
             return false;
         };
-        if running.is_silent(now, usual) {
+        if running.is_silent(now, median_s) {
             return true;
         }
-        let was_moved = self.moved.binary_search(&running.draft.key).is_ok();
+        let was_moved = self
+            .moved_for_speed
+            .binary_search(&running.sample.key)
+            .is_ok();
         if was_moved {
             return false;
         }
         match self.engines[from].speed.and_then(|speed| speed.own_s()) {
             Some(own_s) => {
-                let events = self.length.rest(running.events);
-                let fastest_s = self.usual.fastest_s.unwrap_or(own_s);
+                let events = self.event_counts.rest(running.events);
+                let fastest_s = self.event_times.fastest_s.unwrap_or(own_s);
                 Rest::with_move(own_s * events, fastest_s * events).is_worth_moving()
             }
-            None => running.has_stayed(now, self.engines[from].slowness(usual)),
+            None => running.has_stayed_long_enough(now, self.engines[from].slowness(median_s)),
         }
     }
 
-    /// How long a sample waits for its next event, after so many engines from which it heard
+    /// How long a sample waits for its next event, given the number of engines that sent it
     /// nothing.
     #[must_use]
-    pub fn event_patience(&self, silences: u32) -> Duration {
-        let usual = Duration::from_secs_f64(self.usual.event_s.unwrap_or_default());
-        let known = usual
-            .mul_f64(EVENT_PATIENCE_PAUSES)
-            .max(EVENT_PATIENCE_LEAST);
-        known * 2_u32.pow(silences.min(PATIENCE_DOUBLINGS))
+    pub fn event_patience(&self, silent_engines: u32) -> Duration {
+        let median = Duration::from_secs_f64(self.event_times.median_s.unwrap_or_default());
+        let timeout = median.mul_f64(EVENT_TIMEOUT_FACTOR).max(MIN_EVENT_TIMEOUT);
+        timeout * 2_u32.pow(silent_engines.min(MAX_TIMEOUT_DOUBLINGS))
     }
 
-    /// Samples that wait.
+    /// Number of waiting samples.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// When an engine that is left alone may be asked again.
+    /// Earliest time at which a paused engine may be tried again.
     #[must_use]
     pub fn next_look(&self, now: Instant) -> Option<Instant> {
         let paused = self.engines.iter().filter_map(|engine| engine.paused_until);
         paused.filter(|until| *until > now).min()
     }
 
-    fn engine_at(&self, key: UpstreamKey) -> Option<usize> {
+    fn engine_index(&self, key: UpstreamKey) -> Option<usize> {
         self.engines
             .binary_search_by_key(&key, |engine| engine.state.key)
             .ok()
     }
 
-    fn start(&mut self, now: Instant, draft: Draft, at: usize) {
+    fn start(&mut self, now: Instant, sample: Draft, at: usize) {
         let engine = &mut self.engines[at];
         engine.in_flight += 1;
-        engine.tokens += u64::from(draft.tokens);
+        engine.tokens += u64::from(sample.tokens);
         let key = engine.state.key;
         let position = self
             .running
-            .partition_point(|held| held.draft.key < draft.key);
+            .partition_point(|running| running.sample.key < sample.key);
         let running = Running {
-            draft,
+            sample,
             engine: key,
-            since: now,
+            started_at: now,
             last_event: None,
-            events: draft.drafted,
-            leaving: false,
+            events: sample.drafted,
+            is_leaving: false,
         };
         self.running.insert(position, running);
-        self.remember_group(draft.group, key);
+        self.record_group_engine(sample.group, key);
     }
 
-    fn remember_group(&mut self, group: u64, engine: UpstreamKey) {
-        self.starts += 1;
+    fn record_group_engine(&mut self, group: u64, engine: UpstreamKey) {
+        self.start_count += 1;
         let new = GroupEngine {
             group,
             engine,
-            start: self.starts,
+            start: self.start_count,
         };
-        match self.groups.binary_search_by_key(&group, |held| held.group) {
-            Ok(at) => self.groups[at] = new,
-            Err(at) => self.groups.insert(at, new),
+        match self
+            .group_engines
+            .binary_search_by_key(&group, |known| known.group)
+        {
+            Ok(at) => self.group_engines[at] = new,
+            Err(at) => self.group_engines.insert(at, new),
         }
-        if self.groups.len() > GROUPS_KEPT {
-            let oldest = self.groups.iter().map(|held| held.start).min();
-            self.groups.retain(|held| Some(held.start) != oldest);
+        if self.group_engines.len() > MAX_REMEMBERED_GROUPS {
+            let oldest = self.group_engines.iter().map(|known| known.start).min();
+            self.group_engines
+                .retain(|known| Some(known.start) != oldest);
         }
     }
 
-    /// Places of engines with room.
-    fn with_room(&self, now: Instant) -> Vec<usize> {
-        let has_room = |at: &usize| self.engines[*at].room(now) > 0;
+    /// Indexes of engines with free slots.
+    fn with_free_slots(&self, now: Instant) -> Vec<usize> {
+        let has_room = |at: &usize| self.engines[*at].free_slots(now) > 0;
         (0..self.engines.len()).filter(has_room).collect()
     }
 
-    /// Place of the model's ranking, which is made if it is missing.
-    fn ranking(&mut self, now: Instant, model: ModelKey, usual: Option<f64>) -> usize {
-        let found = self.rankings.iter().position(|held| held.model == model);
+    /// Index of the model's ranking, which is created if it is missing.
+    fn ranking(&mut self, now: Instant, model: ModelKey, median_s: Option<f64>) -> usize {
+        let found = self
+            .rankings
+            .iter()
+            .position(|ranking| ranking.model == model);
         if let Some(at) = found {
             return at;
         }
-        let score = |at: usize| (self.engines[at].score(model, None, usual), at);
-        let mut engines: Vec<_> = self.with_room(now).into_iter().map(score).collect();
-        engines.sort_unstable_by(by_score);
+        let score = |at: usize| (self.engines[at].score(model, None, median_s), at);
+        let mut engines: Vec<_> = self.with_free_slots(now).into_iter().map(score).collect();
+        engines.sort_unstable_by(compare_scores);
         self.rankings.push(Ranking { model, engines });
         self.rankings.len() - 1
     }
 
-    /// The best engine with room, as [`Placement::best_engine`] finds it.
-    fn best_ranked(&mut self, now: Instant, draft: &Draft, usual: Option<f64>) -> Option<usize> {
-        let ranking = self.ranking(now, draft.model, usual);
+    /// The best engine with a free slot, the same as [`Placement::best_engine`] finds.
+    fn best_ranked_engine(
+        &mut self,
+        now: Instant,
+        sample: &Draft,
+        median_s: Option<f64>,
+    ) -> Option<usize> {
+        let ranking = self.ranking(now, sample.model, median_s);
         let ranked = self.rankings[ranking].engines.iter().copied();
         let best = ranked
             .clone()
-            .find(|(_, at)| self.engines[*at].fits(draft))?;
-        let prompt_at = self.prompt_at(draft).and_then(|key| self.engine_at(key));
-        let with_prompt = prompt_at.filter(|at| {
+            .find(|(_, at)| self.engines[*at].fits(sample))?;
+        let engine_with_prompt = self
+            .engine_with_prompt(sample)
+            .and_then(|key| self.engine_index(key));
+        let with_prompt = engine_with_prompt.filter(|at| {
             let engine = &self.engines[*at];
-            engine.room(now) > 0 && engine.fits(draft)
+            engine.free_slots(now) > 0 && engine.fits(sample)
         });
         let Some(at) = with_prompt else {
             return Some(best.1);
         };
         let key = self.engines[at].state.key;
-        let score = self.engines[at].score(draft.model, Some(key), usual);
-        let better = by_score(&(score, at), &best).is_lt();
+        let score = self.engines[at].score(sample.model, Some(key), median_s);
+        let better = compare_scores(&(score, at), &best).is_lt();
         Some(if better { at } else { best.1 })
     }
 
-    /// An engine has got one sample more.
-    fn rank_again(&mut self, now: Instant, at: usize, usual: Option<f64>) {
+    /// Updates the rankings after engine `at` has got one more sample.
+    fn update_rankings(&mut self, now: Instant, at: usize, median_s: Option<f64>) {
         if self.ranked_at != Some(now) {
             return;
         }
         let engine = &self.engines[at];
         for ranking in &mut self.rankings {
-            ranking.engines.retain(|(_, held)| *held != at);
-            if engine.room(now) > 0 {
-                let new = (engine.score(ranking.model, None, usual), at);
+            ranking.engines.retain(|(_, other)| *other != at);
+            if engine.free_slots(now) > 0 {
+                let new = (engine.score(ranking.model, None, median_s), at);
                 let place = ranking
                     .engines
-                    .partition_point(|held| by_score(held, &new).is_lt());
+                    .partition_point(|entry| compare_scores(entry, &new).is_lt());
                 ranking.engines.insert(place, new);
             }
         }
     }
 
-    /// The engine that read the prompt of the sample's group last.
-    fn prompt_at(&self, draft: &Draft) -> Option<UpstreamKey> {
+    /// The last engine that processed the prompt of the sample's group.
+    fn engine_with_prompt(&self, sample: &Draft) -> Option<UpstreamKey> {
         let group = self
-            .groups
-            .binary_search_by_key(&draft.group, |held| held.group);
-        group.ok().map(|at| self.groups[at].engine)
+            .group_engines
+            .binary_search_by_key(&sample.group, |known| known.group);
+        group.ok().map(|at| self.group_engines[at].engine)
     }
 
-    /// The best of these engines with room.
-    fn best_engine(&self, open: &[usize], draft: &Draft, usual: Option<f64>) -> Option<usize> {
-        let prompt_at = self.prompt_at(draft);
-        let score = |at: &usize| self.engines[*at].score(draft.model, prompt_at, usual);
-        let fitting = open.iter().copied();
+    /// The best of the engines in `candidates` that fits the sample.
+    fn best_engine(
+        &self,
+        candidates: &[usize],
+        sample: &Draft,
+        median_s: Option<f64>,
+    ) -> Option<usize> {
+        let engine_with_prompt = self.engine_with_prompt(sample);
+        let score =
+            |at: &usize| self.engines[*at].score(sample.model, engine_with_prompt, median_s);
+        let fitting = candidates.iter().copied();
         fitting
-            .filter(|at| self.engines[*at].fits(draft))
+            .filter(|at| self.engines[*at].fits(sample))
             .min_by(|a, b| score(a).total_cmp(&score(b)))
     }
 
-    /// Median of the engines' times per event, as of [`USUAL_KEPT`] ago at most.
-    fn usual_event_s(&mut self, now: Instant) -> Option<f64> {
-        let is_kept = |at: Instant| now.duration_since(at) < USUAL_KEPT;
-        if self.usual.event_s.is_none() || !self.usual.at.is_some_and(is_kept) {
-            let mut times: Vec<f64> = self.engines.iter().filter_map(|e| e.event_s).collect();
+    /// Median of the engines' times per event, at most [`MEDIAN_MAX_AGE`] old.
+    fn median_event_s(&mut self, now: Instant) -> Option<f64> {
+        let is_recent = |at: Instant| now.duration_since(at) < MEDIAN_MAX_AGE;
+        if self.event_times.median_s.is_none()
+            || !self.event_times.computed_at.is_some_and(is_recent)
+        {
+            let mut times: Vec<f64> = self.engines.iter().filter_map(|e| e.mean_event_s).collect();
             times.sort_by(f64::total_cmp);
-            self.usual = Usual {
-                event_s: times.get(times.len() / 2).copied(),
+            self.event_times = EventTimes {
+                median_s: times.get(times.len() / 2).copied(),
                 fastest_s: times.first().copied(),
-                at: Some(now),
+                computed_at: Some(now),
             };
             for engine in &mut self.engines {
-                engine.expect_delay(now, self.length.usual(), self.usual.event_s);
+                engine.update_delay(now, self.event_counts.usual(), self.event_times.median_s);
             }
         }
-        self.usual.event_s
+        self.event_times.median_s
     }
 }
 
-/// The lowest score first; of equals the first engine.
-fn by_score(a: &(f64, usize), b: &(f64, usize)) -> Ordering {
+/// The lowest score first; among equals the engine with the lower index.
+fn compare_scores(a: &(f64, usize), b: &(f64, usize)) -> Ordering {
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
 }
 
 impl Draft {
-    /// No engine with room takes it if none takes the other.
-    const fn asks_no_less(&self, other: &Self) -> bool {
+    /// Whether no engine that lacks the resources for `other` can take this sample either.
+    const fn requires_at_least(&self, other: &Self) -> bool {
         self.model.0 == other.model.0
             && self.min_version >= other.min_version
             && self.tokens >= other.tokens
@@ -699,25 +746,28 @@
 }
 
 impl Running {
-    /// Nothing has come from it for longer than an engine that is well takes.
-    fn is_silent(&self, now: Instant, usual_event_s: Option<f64>) -> bool {
-        // Nothing tells yet how long an event takes: on slow engines a sample that is moved
-        // for its silence would be moved on for ever.
-        let Some(usual_s) = usual_event_s else {
+    /// Whether it has sent nothing for longer than a healthy engine takes.
+    fn is_silent(&self, now: Instant, median_event_s: Option<f64>) -> bool {
+        // The event time is not known yet. If samples counted as silent now, those on slow engines
+        // would be moved again and again.
+        let Some(median_s) = median_event_s else {
             return false;
         };
-        let usual = Duration::from_secs_f64(usual_s);
+        let median = Duration::from_secs_f64(median_s);
         let Some(last_event) = self.last_event else {
-            let patience = usual.mul_f64(FIRST_EVENT_PAUSES).max(FIRST_EVENT_WITHIN);
-            return now.duration_since(self.since) > patience;
+            let timeout = median
+                .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
+                .max(MIN_FIRST_EVENT_TIMEOUT);
+            return now.duration_since(self.started_at) > timeout;
         };
-        now.duration_since(last_event) > usual.mul_f64(SILENCE).max(SILENT_AT_LEAST)
+        now.duration_since(last_event) > median.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE)
     }
 
-    /// The slower its engine, the sooner a sample may leave it.
-    fn has_stayed(&self, now: Instant, slowness: f64) -> bool {
-        let stays = STAY_AT_LEAST.div_f64((slowness / FASTER_FACTOR).max(1.0));
-        now.duration_since(self.since) >= stays
+    /// Whether the sample has run here long enough to be moved for speed. On a slower engine the
+    /// time is shorter.
+    fn has_stayed_long_enough(&self, now: Instant, slowness: f64) -> bool {
+        let min_stay = MIN_STAY.div_f64((slowness / MIN_SPEEDUP).max(1.0));
+        now.duration_since(self.started_at) >= min_stay
     }
 }
 
@@ -728,103 +778,107 @@
             in_flight: 0,
             tokens: 0,
             paused_until: None,
-            event_s: None,
-            told: None,
+            mean_event_s: None,
+            reported: None,
             speed: None,
-            delay: 0.0,
+            relative_delay: 0.0,
         }
     }
 
-    /// Its memory and its weights do for the sample.
-    fn fits(&self, draft: &Draft) -> bool {
-        let tokens = self.tokens + u64::from(draft.tokens);
-        // A sample that is larger than the memory is let in alone: the engine says
-        // whether it takes it.
-        let fits = tokens <= self.state.memory_tokens || self.in_flight == 0;
-        fits && self.has_version_for(draft)
+    /// Whether its memory and its weights suffice for the sample.
+    fn fits(&self, sample: &Draft) -> bool {
+        let tokens = self.tokens + u64::from(sample.tokens);
+        // A sample larger than the whole memory is admitted alone: the engine decides whether to
+        // run it.
+        let fits_in_memory = tokens <= self.state.memory_tokens || self.in_flight == 0;
+        fits_in_memory && self.has_version_for(sample)
     }
 
-    /// Samples that may start here now.
-    fn room(&self, now: Instant) -> u32 {
+    /// Number of samples that may start here now.
+    fn free_slots(&self, now: Instant) -> u32 {
         if self.paused_until.is_some_and(|until| until > now) {
             return 0;
         }
         self.state.slots.saturating_sub(self.in_flight)
     }
 
-    fn has_version_for(&self, draft: &Draft) -> bool {
+    fn has_version_for(&self, sample: &Draft) -> bool {
         let versions = &self.state.versions;
-        let at = versions.binary_search_by_key(&draft.model, |(model, _)| *model);
-        at.is_ok_and(|at| versions[at].1 >= draft.min_version)
+        let at = versions.binary_search_by_key(&sample.model, |(model, _)| *model);
+        at.is_ok_and(|at| versions[at].1 >= sample.min_version)
     }
 
-    /// Times slower than usual.
-    fn slowness(&self, usual_event_s: Option<f64>) -> f64 {
-        match (self.event_s, usual_event_s) {
-            (Some(own), Some(usual)) if usual > 0.0 => own / usual,
+    /// Time per event relative to the median; above 1 is slower.
+    fn slowness(&self, median_event_s: Option<f64>) -> f64 {
+        match (self.mean_event_s, median_event_s) {
+            (Some(own), Some(median)) if median > 0.0 => own / median,
             _ => 1.0,
         }
     }
 
-    /// The lower the better.
+    /// Placement score of this engine; the lowest is best.
     fn score(
         &self,
         model: ModelKey,
-        prompt_at: Option<UpstreamKey>,
-        usual_event_s: Option<f64>,
+        engine_with_prompt: Option<UpstreamKey>,
+        median_event_s: Option<f64>,
     ) -> f64 {
         let load = f64::from(self.in_flight) / f64::from(self.state.slots.max(1));
-        let mut score = self.slowness(usual_event_s) * (1.0 + FULL_SLOWER * load) + self.delay;
-        if prompt_at == Some(self.state.key) {
-            score -= PROMPT_BONUS;
+        let mut score =
+            self.slowness(median_event_s) * (1.0 + FULL_LOAD_SLOWDOWN * load) + self.relative_delay;
+        if engine_with_prompt == Some(self.state.key) {
+            score -= CACHED_PROMPT_BONUS;
         }
         if self.state.model.is_some_and(|own| own != model) {
-            score += OTHER_MODEL;
+            score += OTHER_MODEL_PENALTY;
         }
         score
     }
 
     /// Records how long work takes on its VM at the moment, in percent of the usual time.
     fn note_speed(&mut self, now: Instant, percent: u32) {
-        let speed = self.speed.get_or_insert(Speed::known(self.event_s));
+        let speed = self.speed.get_or_insert(Speed::known(self.mean_event_s));
         speed.note_report(now, percent);
     }
 
-    /// Updates `delay`, for a sample of `events` events that starts now.
-    fn expect_delay(&mut self, now: Instant, events: f64, usual_event_s: Option<f64>) {
-        let (Some(speed), Some(usual_s)) = (self.speed, usual_event_s) else {
-            self.delay = 0.0;
+    /// Updates `relative_delay` for a sample of `events` events that starts now.
+    fn update_delay(&mut self, now: Instant, events: f64, median_event_s: Option<f64>) {
+        let (Some(speed), Some(median_s)) = (self.speed, median_event_s) else {
+            self.relative_delay = 0.0;
             return;
         };
-        let own_s = speed.own_s().unwrap_or(usual_s);
-        let usual_sample_s = usual_s * events.max(1.0);
+        let own_s = speed.own_s().unwrap_or(median_s);
+        let median_sample_s = median_s * events.max(1.0);
         let delay_s = speed.expected_delay_s(now, own_s * events.max(1.0));
-        self.delay = delay_s / usual_sample_s.max(f64::MIN_POSITIVE);
+        self.relative_delay = delay_s / median_sample_s.max(f64::MIN_POSITIVE);
     }
 
-    /// Expected seconds for `events` more events of a sample that continues here now; `None`
-    /// until a time per event is known.
-    fn rest_s(&self, now: Instant, events: f64, usual_event_s: Option<f64>) -> Option<f64> {
-        let work_s = self.event_s.or(usual_event_s)? * events;
+    /// Expected seconds for `events` more events of a sample that continues here now; `None` until
+    /// a time per event is known.
+    fn remaining_s(&self, now: Instant, events: f64, median_event_s: Option<f64>) -> Option<f64> {
+        let work_s = self.mean_event_s.or(median_event_s)? * events;
         let delay_s = self.speed.map(|speed| speed.expected_delay_s(now, work_s));
         Some(work_s + delay_s.unwrap_or(0.0))
     }
 
-    fn learn(&mut self, now: Instant, pause: Duration, usual_event_s: Option<f64>) {
+    fn record_event_time(&mut self, now: Instant, pause: Duration, median_event_s: Option<f64>) {
         let pause_s = pause.as_secs_f64();
-        if usual_event_s.is_some_and(|usual| pause_s > usual * SILENCE) {
+        if median_event_s.is_some_and(|median| pause_s > median * SILENCE_FACTOR) {
             return;
         }
         if let Some(speed) = &mut self.speed {
             speed.learn(now, pause);
-            self.event_s = speed.own_s();
+            self.mean_event_s = speed.own_s();
             return;
         }
-        let held = self.event_s.unwrap_or(pause_s);
-        self.event_s = Some(held + (pause_s - held) * SPEED_STEP);
+        let mean_s = self.mean_event_s.unwrap_or(pause_s);
+        self.mean_event_s = Some(mean_s + (pause_s - mean_s) * EVENT_TIME_WEIGHT);
     }
 
-    fn pause(&mut self, until: Instant) {
-        self.paused_until = Some(self.paused_until.map_or(until, |held| held.max(until)));
+    fn pause_until(&mut self, until: Instant) {
+        self.paused_until = Some(
+            self.paused_until
+                .map_or(until, |paused_until| paused_until.max(until)),
+        );
     }
 }
