--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -1,10 +1,9 @@
-//! How many upstreams of a service to order, of which kind and in which availability zone.
+//! Decides how many upstreams of a service to order, of which kind and in which availability zone.
 //!
-//! **Load:** demand that changes, prices by zone, and spot upstreams that the platform may
-//! reclaim a zone at a time. **How:** the demand gives target numbers
-//! ([`crate::scaling_targets`]). What is missing is ordered at once. Shrinking is slow, and so
-//! is the exchange for cheaper upstreams: one upstream of a zone at a time, and nothing while
-//! an order is still booting.
+//! Demand changes, prices differ by zone, and the platform may reclaim the spot upstreams of a
+//! whole zone at once. [`crate::scaling_targets`] derives target numbers from the demand. Missing
+//! upstreams are ordered at once. Reductions and replacements by cheaper upstreams are slow: one
+//! upstream per zone at a time, and none while ordered upstreams are still booting.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,26 +12,26 @@
 use crate::scaling_targets::filled;
 use crate::scaling_targets::targets;
 
-/// Upstreams are exchanged for others that cost at most this part: each exchange pays for
-/// both while the new one boots.
-const WORTH_EXCHANGE: f64 = 0.85;
+/// Upstreams are replaced only if the new total cost is at most this part of the present one: until
+/// a new upstream serves, both are paid for.
+const MAX_REPLACEMENT_COST_RATIO: f64 = 0.85;
 
-/// Time after a boot within which a new upstream appears in the list of this node.
+/// Time after a boot within which a new upstream appears in this node's list.
 const LIST_LAG: Duration = Duration::from_secs(3);
 
 /// Whether the platform may reclaim an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Supply {
-    /// It runs until a lower number is ordered.
+    /// Runs until a lower number is ordered.
     OnDemand,
-    /// It may be reclaimed at short notice.
+    /// May be reclaimed at short notice.
     Spot,
 }
 
-/// Both kinds, on-demand first: it costs more.
+/// Both kinds, on-demand first because it costs more.
 pub const SUPPLIES: [Supply; 2] = [Supply::OnDemand, Supply::Spot];
 
-/// Numbers by kind.
+/// Number of upstreams of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// On-demand upstreams.
@@ -42,7 +41,7 @@
 }
 
 impl Counts {
-    /// The number of one kind.
+    /// Number of one kind.
     #[must_use]
     pub const fn of(self, supply: Supply) -> u32 {
         match supply {
@@ -59,34 +58,34 @@
         }
     }
 
-    /// Both kinds together.
+    /// Number of both kinds.
     #[must_use]
     pub const fn total(self) -> u32 {
         self.on_demand.saturating_add(self.spot)
     }
 }
 
-/// Limits of a service.
+/// Scaling limits of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Fewest upstreams of a zone, both kinds together.
+    /// Minimum number of upstreams per zone, both kinds together.
     pub least: u32,
-    /// Most upstreams of a zone, both kinds together.
+    /// Maximum number of upstreams per zone, both kinds together.
     pub most: u32,
-    /// Requests that an upstream runs at once.
+    /// Number of requests that an upstream runs concurrently.
     pub slots: u32,
-    /// Price of a spot upstream as a part of the price of its zone.
+    /// Price of a spot upstream relative to an on-demand one in its zone.
     pub spot_price: f64,
 }
 
 /// Number of samples that the open steps request concurrently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Of all models together.
+    /// Samples of all models.
     pub samples: u32,
-    /// Of the largest step.
+    /// Samples of the largest step.
     pub largest_step: u32,
-    /// The demand of every model is known; if false, the true demand may be higher.
+    /// Whether the demand of every model is known; if false, the true demand may be higher.
     pub is_whole: bool,
 }
 
@@ -95,29 +94,29 @@
 pub struct Zone {
     /// Price of an on-demand upstream, relative to other zones.
     pub price: f64,
-    /// Upstreams that the platform lists and that are not leaving.
+    /// Upstreams that the platform lists and that are not being removed.
     pub listed: Counts,
-    /// Listed upstreams, and those that were ordered and are still booting.
+    /// Listed upstreams and ordered ones that are still booting.
     pub present: Counts,
-    /// No more on-demand upstreams can be ordered now.
+    /// No on-demand upstreams can be added now.
     pub no_on_demand: bool,
-    /// No more spot upstreams can be ordered now.
+    /// No spot upstreams can be added now.
     pub no_spot: bool,
-    /// The last change is too recent to reduce the number.
+    /// The last change is too recent for a reduction.
     pub is_settling: bool,
-    /// Sum of the requests that its upstreams report.
+    /// Number of requests that its upstreams report as running.
     pub running: u32,
 }
 
 impl Zone {
-    /// Adds the requests that one of its upstreams reports. `None` means that it did not answer:
-    /// it may be busy, and counts as full, with one request for each of its `slots`.
-    pub const fn note_requests(&mut self, told: Option<u32>, slots: u32) {
-        let held = match told {
+    /// Adds the requests that one upstream reports. `None` means that it did not answer: it may be
+    /// busy, and counts as full, with `slots` requests.
+    pub const fn note_requests(&mut self, reported: Option<u32>, slots: u32) {
+        let count = match reported {
             Some(requests) => requests,
             None => slots,
         };
-        self.running = self.running.saturating_add(held);
+        self.running = self.running.saturating_add(count);
     }
 
     pub(crate) const fn is_unavailable(&self, supply: Supply) -> bool {
@@ -127,54 +126,54 @@
         }
     }
 
-    /// Orders or removals are not complete yet.
+    /// Whether orders or removals are still in progress.
     fn is_changing(&self) -> bool {
         self.is_settling || self.present != self.listed
     }
 }
 
-/// Why upstreams are ordered.
+/// Reason for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// The zone has fewer than its minimum.
+    /// The zone has fewer upstreams than its minimum.
     BelowLeast,
-    /// The demand or the reserve needs more here.
+    /// The demand or the reserve requires more upstreams.
     TooFew,
-    /// Fewer suffice, or others are cheaper.
+    /// Fewer upstreams suffice, or others are cheaper.
     TooMany,
-    /// Repeats an order of an earlier holder of the scaling duty, or one that got no answer.
+    /// Repeats an order of an earlier holder of the scaling duty, or one that was not answered.
     Repeated,
 }
 
-/// A number of upstreams to order.
+/// An order that sets the number of upstreams of one kind in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
     /// Index of the zone.
     pub zone: usize,
-    /// The kind.
+    /// Kind of upstream.
     pub supply: Supply,
-    /// Number of this kind that the zone is to have.
+    /// Number that the zone is to have.
     pub count: u32,
-    /// Number of this kind that the zone has, those still booting included.
+    /// Number that the zone has, including those still booting.
     pub before: u32,
-    /// Why.
+    /// Reason for the order.
     pub reason: Reason,
 }
 
-/// The last order of one kind in one zone.
+/// The last order that was sent for one kind in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ordered {
-    /// The number that was ordered.
+    /// Number that was ordered.
     pub count: u32,
-    /// Upstreams that the platform listed then.
+    /// Number that the platform listed at that time.
     pub listed: u32,
-    /// When it was ordered.
+    /// Time of the order.
     pub at: Instant,
 }
 
 impl Ordered {
-    /// Upstreams of this kind that run or boot, given the number that is listed now and the
-    /// time that a boot takes.
+    /// Number of running and booting upstreams of this kind, from the number listed now and the
+    /// boot time.
     #[must_use]
     pub fn present(&self, listed: u32, now: Instant, boot: Duration) -> u32 {
         if now.duration_since(self.at) >= boot + LIST_LAG {
@@ -183,24 +182,24 @@
         if self.count < self.listed {
             return listed.min(self.count);
         }
-        // Some of the upstreams that were listed at the order may have been lost since.
+        // Some of the upstreams listed at the time of the order may have been lost since.
         let with_ordered = listed.saturating_add(self.count - self.listed);
         with_ordered.min(self.count).max(listed)
     }
 
-    /// The change is too recent to reduce the number.
+    /// Whether the order is too recent for a reduction.
     #[must_use]
     pub fn is_settling(&self, now: Instant, boot: Duration) -> bool {
         now.duration_since(self.at) < boot
     }
 }
 
-/// The orders that are due. If the demand is not known (`None`), zones are only filled up to
-/// their minimum.
+/// Orders to send now. If the demand is unknown (`None`), zones are only filled up to their
+/// minimum.
 #[must_use]
 pub fn orders(zones: &[Zone], bounds: &Bounds, demand: Option<Demand>) -> Vec<Order> {
     let Some(demand) = demand else {
-        return growth(zones, bounds, &filled(zones, bounds), u32::MAX);
+        return growth_orders(zones, bounds, &filled(zones, bounds), u32::MAX);
     };
     let present: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     let needed = engines_for(demand.samples, bounds);
@@ -209,27 +208,27 @@
         return Vec::new();
     }
     if !is_enough {
-        return growth(zones, bounds, &additions(zones, bounds, demand), u32::MAX);
+        return growth_orders(zones, bounds, &additions(zones, bounds, demand), u32::MAX);
     }
     if zones.iter().any(Zone::is_changing) {
         return Vec::new();
     }
     let targets = targets(zones, bounds, demand);
-    let fewer = shrinkage(zones, bounds, &targets, needed);
-    let gain = cost(&targets, zones, bounds) / cost(&present, zones, bounds);
-    if fewer.is_empty() && gain < WORTH_EXCHANGE {
+    let reductions = reduction_orders(zones, bounds, &targets, needed);
+    let cost_ratio = cost(&targets, zones, bounds) / cost(&present, zones, bounds);
+    if reductions.is_empty() && cost_ratio < MAX_REPLACEMENT_COST_RATIO {
         // The upstreams that these replace are removed once the new ones serve.
-        return growth(zones, bounds, &targets, 1);
+        return growth_orders(zones, bounds, &targets, 1);
     }
-    fewer
+    reductions
 }
 
 /// Cost of the upstreams, in the unit of [`Zone::price`].
 #[must_use]
 pub fn cost(counts: &[Counts], zones: &[Zone], bounds: &Bounds) -> f64 {
-    let costs = counts.iter().zip(zones).map(|(held, zone)| {
-        let spot = f64::from(held.spot) * bounds.spot_price;
-        zone.price * (f64::from(held.on_demand) + spot)
+    let costs = counts.iter().zip(zones).map(|(zone_counts, zone)| {
+        let spot = f64::from(zone_counts.spot) * bounds.spot_price;
+        zone.price * (f64::from(zone_counts.on_demand) + spot)
     });
     costs.sum()
 }
@@ -239,31 +238,41 @@
 }
 
 pub(crate) fn total(counts: &[Counts]) -> u32 {
-    let totals = counts.iter().map(|held| held.total());
+    let totals = counts.iter().map(|zone_counts| zone_counts.total());
     totals.fold(0, u32::saturating_add)
 }
 
 /// Upstreams that remain if the zone with the most spot upstreams loses all of them.
 pub(crate) fn covered(counts: &[Counts]) -> u32 {
-    let lost = counts.iter().map(|held| held.spot).max();
+    let lost = counts.iter().map(|zone_counts| zone_counts.spot).max();
     total(counts) - lost.unwrap_or_default()
 }
 
 fn is_enough(counts: &[Counts], bounds: &Bounds, needed: u32) -> bool {
-    let has_least = counts.iter().all(|held| held.total() >= bounds.least);
-    has_least && covered(counts) >= needed
+    let has_minimum = counts
+        .iter()
+        .all(|zone_counts| zone_counts.total() >= bounds.least);
+    has_minimum && covered(counts) >= needed
 }
 
-/// Orders that raise zones to their targets, by at most `step` upstreams per kind and zone.
-fn growth(zones: &[Zone], bounds: &Bounds, targets: &[Counts], step: u32) -> Vec<Order> {
+/// Orders that raise zones to their targets, by at most `max_added` upstreams per kind and zone.
+fn growth_orders(
+    zones: &[Zone],
+    bounds: &Bounds,
+    targets: &[Counts],
+    max_added: u32,
+) -> Vec<Order> {
     let mut orders = Vec::new();
     for (at, (zone, target)) in zones.iter().zip(targets).enumerate() {
         let mut present = zone.present;
         for supply in SUPPLIES {
             let before = present.of(supply);
             let others = present.total() - before;
-            let room = bounds.most.saturating_sub(others);
-            let count = target.of(supply).min(room).min(before.saturating_add(step));
+            let max_of_kind = bounds.most.saturating_sub(others);
+            let count = target
+                .of(supply)
+                .min(max_of_kind)
+                .min(before.saturating_add(max_added));
             if count <= before || zone.is_unavailable(supply) {
                 continue;
             }
@@ -285,9 +294,14 @@
     orders
 }
 
-/// Orders that remove one upstream from each zone above its target, if enough remain.
-fn shrinkage(zones: &[Zone], bounds: &Bounds, targets: &[Counts], needed: u32) -> Vec<Order> {
-    let mut left: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
+/// Orders that remove one upstream from each zone above its target if enough remain.
+fn reduction_orders(
+    zones: &[Zone],
+    bounds: &Bounds,
+    targets: &[Counts],
+    needed: u32,
+) -> Vec<Order> {
+    let mut remaining: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     let mut orders = Vec::new();
     for (at, (zone, target)) in zones.iter().zip(targets).enumerate() {
         let exceeds = |supply: &Supply| zone.present.of(*supply) > target.of(*supply);
@@ -298,12 +312,12 @@
         if zone.present.total() <= in_use {
             continue;
         }
-        let mut fewer = left.clone();
-        *fewer[at].of_mut(supply) -= 1;
-        if !is_enough(&fewer, bounds, needed) {
+        let mut reduced = remaining.clone();
+        *reduced[at].of_mut(supply) -= 1;
+        if !is_enough(&reduced, bounds, needed) {
             continue;
         }
-        left = fewer;
+        remaining = reduced;
         let before = zone.present.of(supply);
         orders.push(Order {
             zone: at,
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -1,8 +1,8 @@
-//! Which of the last orders in a zone a new holder of the scaling duty sends again.
+//! Decides which of the last orders in a zone a new holder of the scaling duty sends again.
 //!
 //! Only orders that the platform has not confirmed are repeated, within the current limits.
-//! Upstreams of a confirmed order may still be booting, and those of an old one may have been
-//! lost since.
+//! Upstreams of a confirmed order may still be booting, and those of an old one may have been lost
+//! since.
 
 use crate::scaling::Bounds;
 use crate::scaling::Counts;
@@ -11,67 +11,73 @@
 use crate::scaling::SUPPLIES;
 use crate::scaling::Supply;
 
-/// The last order of one kind, as an earlier holder recorded it.
+/// The last order for one kind, as recorded by an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastOrder {
-    /// The kind.
+    /// Kind of upstream.
     pub supply: Supply,
-    /// The number that was ordered.
+    /// Number that was ordered.
     pub count: u32,
-    /// The platform has confirmed it.
+    /// Whether the platform has confirmed the order.
     pub is_confirmed: bool,
 }
 
-/// Orders to send again in a zone. If any of them is a reduction, only reductions are sent.
+/// Orders to send again in a zone. If any of them is a reduction, only reductions are returned.
 #[must_use]
 pub fn repeats(zone: usize, last: &[LastOrder], listed: Counts, bounds: &Bounds) -> Vec<Order> {
-    let open = || last.iter().filter(|held| !held.is_confirmed);
-    let shrinks = |held: &&LastOrder| held.count < listed.of(held.supply);
-    let reductions = open().filter(shrinks);
+    let unconfirmed = || last.iter().filter(|order| !order.is_confirmed);
+    let is_reduction = |order: &&LastOrder| order.count < listed.of(order.supply);
+    let reductions = unconfirmed().filter(is_reduction);
     let mut orders = Vec::new();
-    let mut left = listed;
-    for held in reductions {
-        let others = left.total() - left.of(held.supply);
-        let count = held.count.max(bounds.least.saturating_sub(others));
-        take(&mut orders, &mut left, zone, *held, count);
+    let mut resulting = listed;
+    for order in reductions {
+        let others = resulting.total() - resulting.of(order.supply);
+        let count = order.count.max(bounds.least.saturating_sub(others));
+        push_order(&mut orders, &mut resulting, zone, *order, count);
     }
     if !orders.is_empty() {
         return orders;
     }
-    let mut most = expected(last, listed);
-    for held in open().filter(|held| held.count > listed.of(held.supply)) {
-        let others = most.total() - most.of(held.supply);
-        let count = held.count.min(bounds.most.saturating_sub(others));
-        if count > listed.of(held.supply) {
-            take(&mut orders, &mut left, zone, *held, count);
+    let mut possible = expected(last, listed);
+    for order in unconfirmed().filter(|order| order.count > listed.of(order.supply)) {
+        let others = possible.total() - possible.of(order.supply);
+        let count = order.count.min(bounds.most.saturating_sub(others));
+        if count > listed.of(order.supply) {
+            push_order(&mut orders, &mut resulting, zone, *order, count);
         }
-        *most.of_mut(held.supply) = count.max(listed.of(held.supply));
+        *possible.of_mut(order.supply) = count.max(listed.of(order.supply));
     }
     orders
 }
 
-/// Largest number of upstreams that may run or boot: an order that is not confirmed may still
-/// have been carried out.
+/// Largest number of upstreams of each kind that may be running or booting: an order that is not
+/// confirmed may still have been carried out.
 #[must_use]
 pub fn expected(last: &[LastOrder], listed: Counts) -> Counts {
-    let mut expected = listed;
+    let mut counts = listed;
     for supply in SUPPLIES {
-        let of_kind = last.iter().filter(|held| held.supply == supply);
-        let ordered = of_kind.map(|held| held.count).max().unwrap_or_default();
-        *expected.of_mut(supply) = listed.of(supply).max(ordered);
+        let of_kind = last.iter().filter(|order| order.supply == supply);
+        let ordered = of_kind.map(|order| order.count).max().unwrap_or_default();
+        *counts.of_mut(supply) = listed.of(supply).max(ordered);
     }
-    expected
+    counts
 }
 
-fn take(orders: &mut Vec<Order>, left: &mut Counts, zone: usize, held: LastOrder, count: u32) {
-    let before = left.of(held.supply);
+fn push_order(
+    orders: &mut Vec<Order>,
+    resulting: &mut Counts,
+    zone: usize,
+    last: LastOrder,
+    count: u32,
+) {
+    let before = resulting.of(last.supply);
     if count == before {
         return;
     }
-    *left.of_mut(held.supply) = count;
+    *resulting.of_mut(last.supply) = count;
     orders.push(Order {
         zone,
-        supply: held.supply,
+        supply: last.supply,
         count,
         before,
         reason: Reason::Repeated,
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -1,8 +1,8 @@
-//! The numbers of upstreams that a demand needs, by availability zone and kind.
+//! Computes the number of upstreams that a demand requires, by availability zone and kind.
 //!
-//! Upstreams are assigned one by one. On-demand upstreams carry the largest step, spot
-//! upstreams the rest and a reserve for the loss of the zone that holds most of them. The
-//! cheapest zone comes first, and none has more than half.
+//! Upstreams are assigned one by one. On-demand upstreams cover the largest step; spot upstreams
+//! cover the rest and a reserve for the loss of the zone that holds most of them. The cheapest zone
+//! comes first, and no zone gets more than half.
 
 use crate::scaling::Bounds;
 use crate::scaling::Counts;
@@ -14,52 +14,53 @@
 use crate::scaling::engines_for;
 use crate::scaling::total;
 
-/// An upstream that exists counts as this part of its price, so that small price changes
-/// do not replace upstreams.
-const KEPT_PRICE_PART: f64 = 0.85;
+/// Factor on the price of an existing upstream, so that small price changes do not replace
+/// upstreams.
+const PRESENT_PRICE_FACTOR: f64 = 0.85;
 
-/// The cheapest numbers that meet the demand, chosen without the present upstreams as a base.
+/// Cheapest numbers that meet the demand, without regard to present upstreams except as a price
+/// advantage.
 #[must_use]
 pub fn targets(zones: &[Zone], bounds: &Bounds, demand: Demand) -> Vec<Counts> {
     cheapest(zones, bounds, demand, &vec![Counts::default(); zones.len()])
 }
 
-/// The cheapest numbers that meet the demand if all present upstreams stay.
+/// Cheapest numbers that meet the demand if all present upstreams stay.
 #[must_use]
 pub fn additions(zones: &[Zone], bounds: &Bounds, demand: Demand) -> Vec<Counts> {
     let present: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     cheapest(zones, bounds, demand, &present)
 }
 
-/// The present upstreams, with zones filled up to their minimum.
+/// Present upstreams, with zones filled up to their minimum.
 #[must_use]
 pub fn filled(zones: &[Zone], bounds: &Bounds) -> Vec<Counts> {
-    let mut placing = Placing {
+    let mut assignment = Assignment {
         zones,
         bounds,
-        spot_parts: None,
-        placed: zones.iter().map(|zone| zone.present).collect(),
+        spot_zones: None,
+        assigned: zones.iter().map(|zone| zone.present).collect(),
     };
-    placing.fill_to_least();
-    placing.placed
+    assignment.fill_to_minimum();
+    assignment.assigned
 }
 
-/// Spot upstreams spread over more zones need a smaller reserve but cost more each. Tries every
-/// number of zones, and on-demand upstreams alone; of the options that cover the most demand,
-/// returns the cheapest.
-fn cheapest(zones: &[Zone], bounds: &Bounds, demand: Demand, from: &[Counts]) -> Vec<Counts> {
+/// Spreading spot upstreams over more zones makes the reserve smaller but each upstream more
+/// expensive. Tries every number of zones, and on-demand upstreams alone, and returns the cheapest
+/// of the options that cover the most demand.
+fn cheapest(zones: &[Zone], bounds: &Bounds, demand: Demand, initial: &[Counts]) -> Vec<Counts> {
     let needed = engines_for(demand.samples, bounds);
-    let base = engines_for(demand.largest_step, bounds).min(needed);
-    let divisions = (2..=zones.len().max(2)).map(|parts| Some(parts as u32));
-    let options = divisions.chain([None]).map(|spot_parts| {
-        let mut placing = Placing {
+    let on_demand_base = engines_for(demand.largest_step, bounds).min(needed);
+    let spot_options = (2..=zones.len().max(2)).map(|zone_count| Some(zone_count as u32));
+    let options = spot_options.chain([None]).map(|spot_zones| {
+        let mut assignment = Assignment {
             zones,
             bounds,
-            spot_parts,
-            placed: from.to_vec(),
+            spot_zones,
+            assigned: initial.to_vec(),
         };
-        placing.place(needed, base);
-        placing.placed
+        assignment.assign_all(needed, on_demand_base);
+        assignment.assigned
     });
     let covers = |counts: &[Counts]| covered(counts).min(needed);
     let best = options.min_by(|a, b| {
@@ -69,109 +70,126 @@
     best.unwrap_or_default()
 }
 
-/// Upstreams as they are assigned to zones one by one.
-struct Placing<'a> {
+/// State of the assignment of upstreams to zones.
+struct Assignment<'a> {
     zones: &'a [Zone],
     bounds: &'a Bounds,
-    /// Least number of zones that share the spot upstreams; `None` to use no spot upstreams.
-    spot_parts: Option<u32>,
-    placed: Vec<Counts>,
+    /// Minimum number of zones that share the spot upstreams; `None` for no spot upstreams.
+    spot_zones: Option<u32>,
+    assigned: Vec<Counts>,
 }
 
-impl Placing<'_> {
-    fn place(&mut self, needed: u32, base: u32) {
-        let is_short = |placed: &[Counts]| {
-            let on_demand: u32 = placed.iter().map(|held| held.on_demand).sum();
-            on_demand < base && total(placed) < needed
+impl Assignment<'_> {
+    fn assign_all(&mut self, needed: u32, on_demand_base: u32) {
+        let is_short = |assigned: &[Counts]| {
+            let on_demand: u32 = assigned
+                .iter()
+                .map(|zone_counts| zone_counts.on_demand)
+                .sum();
+            on_demand < on_demand_base && total(assigned) < needed
         };
-        while is_short(&self.placed) && self.add(Supply::OnDemand) {}
-        if self.spot_parts.is_some() {
+        while is_short(&self.assigned) && self.add(Supply::OnDemand) {}
+        if self.spot_zones.is_some() {
             self.cover_with_spot(needed);
         }
-        while covered(&self.placed) < needed && self.add(Supply::OnDemand) {}
-        while self.spot_parts.is_some() && self.total() < needed && self.add(Supply::Spot) {}
-        self.fill_to_least();
+        while covered(&self.assigned) < needed && self.add(Supply::OnDemand) {}
+        while self.spot_zones.is_some() && self.total() < needed && self.add(Supply::Spot) {}
+        self.fill_to_minimum();
     }
 
     fn total(&self) -> u32 {
-        total(&self.placed)
+        total(&self.assigned)
     }
 
-    /// Assigns one more upstream of a kind; false if no zone takes it.
+    /// Assigns one more upstream of a kind; false if no zone can take it.
     fn add(&mut self, supply: Supply) -> bool {
-        let open = (0..self.zones.len()).filter(|at| self.takes(*at, supply));
-        let Some(at) = open.min_by(|a, b| self.compare(*a, *b, supply)) else {
+        let candidates = (0..self.zones.len()).filter(|at| self.can_take(*at, supply));
+        let Some(at) = candidates.min_by(|a, b| self.compare_zones(*a, *b, supply)) else {
             return false;
         };
-        *self.placed[at].of_mut(supply) += 1;
+        *self.assigned[at].of_mut(supply) += 1;
         true
     }
 
-    fn takes(&self, at: usize, supply: Supply) -> bool {
-        let (zone, placed) = (&self.zones[at], self.placed[at]);
-        let has_it = placed.of(supply) < zone.present.of(supply);
-        let is_available = has_it || !zone.is_unavailable(supply);
-        let has_room = placed.total() < self.bounds.most;
-        is_available && has_room && self.keeps_half(at, supply)
+    fn can_take(&self, at: usize, supply: Supply) -> bool {
+        let (zone, assigned) = (&self.zones[at], self.assigned[at]);
+        let is_present = assigned.of(supply) < zone.present.of(supply);
+        let is_available = is_present || !zone.is_unavailable(supply);
+        let has_room = assigned.total() < self.bounds.most;
+        is_available && has_room && self.keeps_limits(at, supply)
     }
 
-    /// Whether, with one more upstream, the zone has at most half of all upstreams and at most
-    /// its part of all spot upstreams. The reserve must cover the loss of that part.
-    fn keeps_half(&self, at: usize, supply: Supply) -> bool {
-        let here = self.placed[at];
+    /// Whether, with one more upstream, the zone has at most half of all upstreams and at most its
+    /// part of all spot upstreams. The reserve has to cover the loss of that part.
+    fn keeps_limits(&self, at: usize, supply: Supply) -> bool {
+        let here = self.assigned[at];
         if self.zones.len() == 1 || here.total() < self.bounds.least {
             return true;
         }
-        let spots: u32 = self.placed.iter().map(|held| held.spot).sum();
-        let most_spots = (spots + 1).div_ceil(self.spot_parts.unwrap_or(1));
-        let keeps_spots = supply == Supply::OnDemand || here.spot < most_spots;
-        keeps_spots && here.total() < (self.total() + 1).div_ceil(2)
+        let spot_total: u32 = self
+            .assigned
+            .iter()
+            .map(|zone_counts| zone_counts.spot)
+            .sum();
+        let max_spot = (spot_total + 1).div_ceil(self.spot_zones.unwrap_or(1));
+        let keeps_spot_limit = supply == Supply::OnDemand || here.spot < max_spot;
+        keeps_spot_limit && here.total() < (self.total() + 1).div_ceil(2)
     }
 
-    fn compare(&self, a: usize, b: usize, supply: Supply) -> std::cmp::Ordering {
-        let is_filled = |at: usize| self.placed[at].total() >= self.bounds.least;
-        let by_price = || self.price(a, supply).total_cmp(&self.price(b, supply));
-        let by_total = || self.placed[a].total().cmp(&self.placed[b].total());
-        is_filled(a)
-            .cmp(&is_filled(b))
+    fn compare_zones(&self, a: usize, b: usize, supply: Supply) -> std::cmp::Ordering {
+        let has_minimum = |at: usize| self.assigned[at].total() >= self.bounds.least;
+        let by_price = || {
+            self.effective_price(a, supply)
+                .total_cmp(&self.effective_price(b, supply))
+        };
+        let by_total = || self.assigned[a].total().cmp(&self.assigned[b].total());
+        has_minimum(a)
+            .cmp(&has_minimum(b))
             .then_with(by_price)
             .then_with(by_total)
     }
 
-    fn price(&self, at: usize, supply: Supply) -> f64 {
+    fn effective_price(&self, at: usize, supply: Supply) -> f64 {
         let zone = &self.zones[at];
-        let is_kept = self.placed[at].of(supply) < zone.present.of(supply);
-        let part = if is_kept { KEPT_PRICE_PART } else { 1.0 };
-        zone.price * part
+        let is_present = self.assigned[at].of(supply) < zone.present.of(supply);
+        let factor = if is_present {
+            PRESENT_PRICE_FACTOR
+        } else {
+            1.0
+        };
+        zone.price * factor
     }
 
-    /// Adds spot upstreams until enough remain if any one zone loses its own. Trailing additions
-    /// that do not raise the covered number are dropped.
+    /// Adds spot upstreams until enough remain after the loss of any one zone's spot upstreams.
+    /// Drops trailing additions that do not raise that number.
     fn cover_with_spot(&mut self, needed: u32) {
-        let mut best = self.placed.clone();
-        let mut most = covered(&best);
-        let mut without_gain = 0;
-        while most < needed && without_gain <= self.zones.len() && self.add(Supply::Spot) {
-            let now = covered(&self.placed);
-            without_gain += 1;
-            if now > most {
-                most = now;
-                without_gain = 0;
-                best.clone_from(&self.placed);
+        let mut best = self.assigned.clone();
+        let mut best_covered = covered(&best);
+        let mut additions_without_gain = 0;
+        while best_covered < needed
+            && additions_without_gain <= self.zones.len()
+            && self.add(Supply::Spot)
+        {
+            let covered_now = covered(&self.assigned);
+            additions_without_gain += 1;
+            if covered_now > best_covered {
+                best_covered = covered_now;
+                additions_without_gain = 0;
+                best.clone_from(&self.assigned);
             }
         }
-        self.placed = best;
+        self.assigned = best;
     }
 
-    fn fill_to_least(&mut self) {
+    fn fill_to_minimum(&mut self) {
         for at in 0..self.zones.len() {
-            while self.placed[at].total() < self.bounds.least {
+            while self.assigned[at].total() < self.bounds.least {
                 let supply = if self.zones[at].no_spot {
                     Supply::OnDemand
                 } else {
                     Supply::Spot
                 };
-                *self.placed[at].of_mut(supply) += 1;
+                *self.assigned[at].of_mut(supply) += 1;
             }
         }
     }
--- a/crates/policy/src/waves.rs
+++ b/crates/policy/src/waves.rs
@@ -1,345 +1,361 @@
-//! Which engines load new weights next.
+//! Decides which engines load new weights next and which models each engine serves.
 //!
-//! **Load:** several trainers name a new version every few seconds; a load takes about
-//! a second, longer while many run, and an engine that loads begins no sample of that
-//! model. **Without it:** every engine loads every version; with two loads at a time a
-//! pool of twelve needs longer than the next version takes to come. **How:** a step takes
-//! the named version and the one before it, and comes as its version is named. So each
-//! model has two sets of engines, which get the versions by turns, those that are of no
-//! more use first. The step begins on the set that has the version before, and goes on
-//! on the other one as that has loaded. With several models each engine serves two of
-//! them.
+//! Several trainers announce a new version every few seconds. A load takes about a second, longer
+//! while many run, and a loading engine starts no sample of that model. If every engine loaded
+//! every version, a pool of twelve with two loads at a time would need longer than the time between
+//! versions.
+//!
+//! A step uses the announced version and the one before it, and arrives when its version is
+//! announced. So each model has two sets of engines that get the versions alternately, engines with
+//! unusable versions first. The step starts on the set that has the previous version and continues
+//! on the other one once that has loaded. With several models, each engine serves two of them.
 
 use std::cmp::Reverse;
 
 use crate::placement::ModelKey;
 use crate::work::UpstreamKey;
 
-/// Versions behind the named one at which an engine is of no more use: the next
-/// step takes the named version and the one before it.
-const USELESS_BEHIND: u64 = 2;
+/// An engine this many versions behind is unusable: the next step uses the announced version and
+/// the one before it.
+const UNUSABLE_LAG: u64 = 2;
 
-/// Engines that load at once, as a part of all: enough to keep the weight store of a small
-/// pool busy while a load that has ended is not known yet. More of a large pool than the
-/// weight store serves is up to [`crate::load_limit`].
-const LOADING_PART: f64 = 1.0 / 4.0;
+/// Part of all engines that may load concurrently: enough to keep the weight store of a small pool
+/// busy while a finished load is not known yet. [`crate::load_limit`] limits large pools to what
+/// the weight store can serve.
+const MAX_LOADING_FRACTION: f64 = 1.0 / 4.0;
 
-/// How far one engine is behind the named version of one model.
+/// How many versions one engine is behind on one model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lag {
-    /// Place of the engine among all.
+    /// Index of the engine.
     pub engine: usize,
     /// The model.
     pub model: ModelKey,
-    /// Place of the engine in the model's order ([`crate::pool::order_in_pool`]).
+    /// Position of the engine in the model's order ([`crate::pool::order_in_pool`]).
     pub order: u64,
-    /// Versions behind.
+    /// Number of versions.
     pub behind: u64,
 }
 
-/// Part of a model's equal share of the engines that gets each version, in quarters: all
-/// that the next step has at first. With half of it, samples wait on a small pool; with all
-/// of it, loads take longer than versions take to come.
-const VERSION_QUARTERS: usize = 3;
+/// Part of a model's equal share of the engines that gets each version, in quarters: these are all
+/// the engines that the next step has at first. With half of the share, samples wait on a small
+/// pool; with all of it, loads take longer than the time between versions.
+const QUARTERS_PER_VERSION: usize = 3;
 
-/// Sets of engines that get a model's versions by turns.
+/// Number of engine sets that get a model's versions alternately.
 pub(crate) const SETS: usize = 2;
 
-/// Versions behind up to which an engine keeps its models: it gets every other one.
-const KEPT_BEHIND: u64 = 2;
+/// An engine keeps its models up to this many versions behind, because it gets every other version.
+const MAX_KEPT_LAG: u64 = 2;
 
-/// Engines that the steps of one model need at once.
+/// Number of engines that the steps of one model need concurrently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
     /// The model.
     pub model: ModelKey,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
 }
 
-/// Engines among which models are divided, and what is known of the models' needs.
+/// Input to the assignment of models to engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Division {
-    /// All engines.
+    /// Number of all engines.
     pub engines: usize,
-    /// All models.
+    /// Number of all models.
     pub models: usize,
-    /// Sorted by model. A model whose need is not known gets its share.
+    /// Sorted by model. A model that is missing gets its equal share.
     pub needs: Vec<Need>,
 }
 
 impl Division {
-    /// A model's equal share of the engines.
-    fn share(&self) -> usize {
+    /// Equal share of the engines for each model.
+    fn equal_share(&self) -> usize {
         self.engines.div_ceil(self.models.max(1))
     }
 
-    fn need(&self, model: ModelKey) -> usize {
-        let found = self.needs.binary_search_by_key(&model, |need| need.model);
+    fn needed_engines(&self, model: ModelKey) -> usize {
+        let found = self.needs.binary_search_by_key(&model, |entry| entry.model);
         found.map_or(usize::MAX, |at| self.needs[at].engines)
     }
 
-    /// Engines that get each version of a model.
-    fn a_version(&self, model: ModelKey) -> usize {
-        let of_share = (self.share() * VERSION_QUARTERS).div_ceil(4);
-        of_share.min(self.need(model))
+    /// Number of engines that get each version of a model.
+    fn engines_per_version(&self, model: ModelKey) -> usize {
+        let of_share = (self.equal_share() * QUARTERS_PER_VERSION).div_ceil(4);
+        of_share.min(self.needed_engines(model))
     }
 
-    /// Engines of both sets of a model.
-    fn both_sets(&self, model: ModelKey) -> usize {
-        (SETS * self.a_version(model)).min(self.engines)
+    /// Number of engines in both sets of a model.
+    fn engines_in_both_sets(&self, model: ModelKey) -> usize {
+        (SETS * self.engines_per_version(model)).min(self.engines)
     }
 }
 
-/// The models that each engine is to serve, its own one first: equal parts for all models, or
-/// what they need if that is less, and engines keep the models whose newer weights they have.
+/// Assigns models to engines; an engine's own model is its first. Each model gets an equal share
+/// or, if that is less, what it needs, and engines keep the models whose newer weights they have.
 ///
-/// Every node computes the same from the same list. Dividing engines by their place
-/// in the list would be simpler, but each engine that comes or goes would move all
-/// behind it to another model, and each move is a load.
+/// All nodes compute the same result from the same list. Assigning engines by their index would be
+/// simpler, but each engine that joins or leaves would move all later ones to another model, and
+/// each such change is a load.
 #[must_use]
 pub fn assign(division: &Division, lags: &[Lag]) -> Vec<Vec<ModelKey>> {
     let mut models: Vec<ModelKey> = lags.iter().map(|lag| lag.model).collect();
     models.sort_unstable();
     models.dedup();
     let mut pairs = lags.to_vec();
-    pairs.sort_by_key(|lag| (lag.behind > KEPT_BEHIND, lag.order, lag.engine));
+    pairs.sort_by_key(|lag| (lag.behind > MAX_KEPT_LAG, lag.order, lag.engine));
     let mut assigned = vec![Vec::new(); division.engines];
-    let both_sets = |model| division.both_sets(model);
-    let own = |model| division.share().min(both_sets(model));
-    give(&mut assigned, &models, &pairs, 1, own);
+    let engines_in_both_sets = |model| division.engines_in_both_sets(model);
+    let primary_count = |model| division.equal_share().min(engines_in_both_sets(model));
+    assign_up_to(&mut assigned, &models, &pairs, 1, primary_count);
     if models.len() > 1 {
-        give(&mut assigned, &models, &pairs, SETS, both_sets);
+        assign_up_to(&mut assigned, &models, &pairs, SETS, engines_in_both_sets);
     }
     assigned
 }
 
-/// Gives models to engines in this order, until an engine has `each` or a model the most that
-/// it is to have.
-/// `models` is sorted.
-fn give(
+/// Assigns models in the order of `pairs`, with at most `max_per_engine` models per engine and at
+/// most `limit_of(model)` engines per model. `models` is sorted.
+fn assign_up_to(
     assigned: &mut [Vec<ModelKey>],
     models: &[ModelKey],
     pairs: &[Lag],
-    each: usize,
-    most_of: impl Fn(ModelKey) -> usize,
+    max_per_engine: usize,
+    limit_of: impl Fn(ModelKey) -> usize,
 ) {
-    let has = |held: &[ModelKey], model| held.contains(&model);
-    // Counted once, not for each pair.
-    let mut given: Vec<usize> = models
+    let has = |engine_models: &[ModelKey], model| engine_models.contains(&model);
+    // Counted once instead of for each pair.
+    let mut counts: Vec<usize> = models
         .iter()
-        .map(|model| assigned.iter().filter(|held| has(held, *model)).count())
+        .map(|model| {
+            assigned
+                .iter()
+                .filter(|engine_models| has(engine_models, *model))
+                .count()
+        })
         .collect();
-    let most: Vec<usize> = models.iter().map(|model| most_of(*model)).collect();
+    let limits: Vec<usize> = models.iter().map(|model| limit_of(*model)).collect();
     for lag in pairs {
         let Ok(at) = models.binary_search(&lag.model) else {
             continue;
         };
-        let own = &mut assigned[lag.engine];
-        if given[at] < most[at] && own.len() < each && !has(own, lag.model) {
-            own.push(lag.model);
-            given[at] += 1;
+        let engine_models = &mut assigned[lag.engine];
+        if counts[at] < limits[at]
+            && engine_models.len() < max_per_engine
+            && !has(engine_models, lag.model)
+        {
+            engine_models.push(lag.model);
+            counts[at] += 1;
         }
     }
 }
 
-/// One engine and one model, as far as weights go.
+/// The weights of one model on one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineWeights {
     /// The engine.
     pub engine: UpstreamKey,
-    /// A model that it serves.
+    /// A model that is assigned to it.
     pub model: ModelKey,
-    /// The version that it has.
+    /// Loaded version.
     pub version: u64,
-    /// The newest version that its trainer named.
+    /// Latest version that the trainer has announced.
     pub named: u64,
-    /// An order for this model was given to it and has not been carried out.
+    /// A load of this model has been ordered and has not ended.
     pub loading: bool,
-    /// It takes no order now.
+    /// It accepts no load order now.
     pub unavailable: bool,
 }
 
-/// Engines that may load at once by the size of the pool alone.
+/// Number of engines that may load concurrently, from the size of the pool alone.
 #[must_use]
 pub fn loads_at_most(engines: usize) -> usize {
-    ((engines as f64 * LOADING_PART).round() as usize).max(1)
+    ((engines as f64 * MAX_LOADING_FRACTION).round() as usize).max(1)
 }
 
-/// The loads to order now, as places in `weights`, so that `at_once` run at the most.
+/// Loads to order now, as indexes into `weights`, so that at most `max_concurrent` run at a time.
 #[must_use]
-pub fn next_loads(weights: &[EngineWeights], at_once: usize, division: &Division) -> Vec<usize> {
-    loads(weights, at_once, |model| division.a_version(model))
+pub fn next_loads(
+    weights: &[EngineWeights],
+    max_concurrent: usize,
+    division: &Division,
+) -> Vec<usize> {
+    plan_loads(weights, max_concurrent, |model| {
+        division.engines_per_version(model)
+    })
 }
 
-/// The loads to order now if every engine is to have every version of its models.
+/// Loads to order now if every engine gets every version of its models.
 #[must_use]
-pub fn next_loads_of_all(weights: &[EngineWeights], at_once: usize) -> Vec<usize> {
-    loads(weights, at_once, |_model| usize::MAX)
+pub fn next_loads_of_all(weights: &[EngineWeights], max_concurrent: usize) -> Vec<usize> {
+    plan_loads(weights, max_concurrent, |_model| usize::MAX)
 }
 
-/// The loads to order now, where so many engines get each version of a model.
+/// Loads to order now if `engines_per_version(model)` engines get each version of a model.
 ///
-/// Each model's candidates are sorted once and each load moves its counts by one, instead of
-/// a look at every other pair for each candidate.
-fn loads(
+/// Sorts each model's candidates once and updates counts with each load, instead of comparing each
+/// candidate with every pair.
+fn plan_loads(
     weights: &[EngineWeights],
-    at_once: usize,
-    a_version: impl Fn(ModelKey) -> usize,
+    max_concurrent: usize,
+    engines_per_version: impl Fn(ModelKey) -> usize,
 ) -> Vec<usize> {
-    let mut plan = Plan::of(weights, a_version);
+    let mut plan = Plan::of(weights, engines_per_version);
     let mut loads = Vec::new();
-    while plan.loading < at_once {
+    while plan.loading < max_concurrent {
         let Some(at) = plan.next(weights) else {
             break;
         };
-        plan.load(&weights[at]);
+        plan.add_load(&weights[at]);
         loads.push(at);
     }
     loads
 }
 
-/// One model's engines while loads are planned.
+/// Counts and candidates of one model while loads are planned.
 #[derive(Debug)]
 struct ModelPlan {
     model: ModelKey,
-    /// Engines that get each version.
-    a_version: usize,
-    /// Engines that the next step can use, or soon can.
+    /// Number of engines that get each version.
+    engines_per_version: usize,
+    /// Number of engines that the next step can use now or after a running load.
     usable: usize,
-    /// Engines that have the newest version, or load it.
+    /// Number of engines that have the latest version or load it.
     newest: usize,
-    /// Places of engines of no more use that serve this model alone: wanted in any case.
-    /// The best one last, as in `others`.
-    alone: Vec<usize>,
-    /// Places of the other engines that are behind: wanted while too few have the newest
-    /// version.
-    others: Vec<usize>,
+    /// Indexes of unusable engines that serve this model alone, best last. They load in any case.
+    sole_candidates: Vec<usize>,
+    /// Indexes of the other engines that are behind, best last. They load while too few engines
+    /// have the latest version.
+    other_candidates: Vec<usize>,
 }
 
-/// Loads that are planned, with the counts that decide on the next one.
+/// Planned loads, with the counts that select the next one.
 #[derive(Debug)]
 struct Plan {
     /// Sorted by model.
     models: Vec<ModelPlan>,
-    /// Engines that load or are to load, sorted.
+    /// Engines that load or have a planned load, sorted.
     busy: Vec<UpstreamKey>,
-    /// Loads that run or are planned.
+    /// Number of running and planned loads.
     loading: usize,
 }
 
 impl Plan {
-    fn of(weights: &[EngineWeights], a_version: impl Fn(ModelKey) -> usize) -> Self {
-        let mut busy: Vec<UpstreamKey> = loading(weights).map(|held| held.engine).collect();
+    fn of(weights: &[EngineWeights], engines_per_version: impl Fn(ModelKey) -> usize) -> Self {
+        let mut busy: Vec<UpstreamKey> = loading_pairs(weights).map(|pair| pair.engine).collect();
         busy.sort_unstable();
-        let mut engines: Vec<UpstreamKey> = weights.iter().map(|held| held.engine).collect();
+        let mut engines: Vec<UpstreamKey> = weights.iter().map(|pair| pair.engine).collect();
         engines.sort_unstable();
-        let mut models: Vec<ModelKey> = weights.iter().map(|held| held.model).collect();
+        let mut models: Vec<ModelKey> = weights.iter().map(|pair| pair.model).collect();
         models.sort_unstable();
         models.dedup();
-        let plan_of = |model| ModelPlan::of(model, weights, &engines, a_version(model));
+        let plan_of = |model| ModelPlan::of(model, weights, &engines, engines_per_version(model));
         Self {
             models: models.into_iter().map(plan_of).collect(),
             busy,
-            loading: loading(weights).count(),
+            loading: loading_pairs(weights).count(),
         }
     }
 
-    /// The model with the fewest usable engines first: with the oldest version first, one
-    /// trainer's step waits for its first engine while others' models get their second set.
+    /// Index of the next load. Models with the fewest usable engines come first: if those with the
+    /// oldest version did, one trainer's step would wait for its first engine while other models
+    /// get their second set.
     fn next(&mut self, weights: &[EngineWeights]) -> Option<usize> {
         let busy = &self.busy;
         let is_busy = |at: &usize| busy.binary_search(&weights[*at].engine).is_ok();
         let candidates = self.models.iter_mut().filter_map(|model| {
             let at = model.next(weights, is_busy)?;
-            Some((model.usable, order_of(weights, at), at))
+            Some((model.usable, load_order(weights, at), at))
         });
         candidates.min().map(|(_, _, at)| at)
     }
 
-    fn load(&mut self, held: &EngineWeights) {
+    fn add_load(&mut self, pair: &EngineWeights) {
         self.loading += 1;
-        if let Err(at) = self.busy.binary_search(&held.engine) {
-            self.busy.insert(at, held.engine);
+        if let Err(at) = self.busy.binary_search(&pair.engine) {
+            self.busy.insert(at, pair.engine);
         }
         let found = self
             .models
-            .binary_search_by_key(&held.model, |plan| plan.model);
+            .binary_search_by_key(&pair.model, |plan| plan.model);
         if let Ok(at) = found {
             let model = &mut self.models[at];
             model.newest += 1;
-            model.usable += usize::from(held.behind() >= USELESS_BEHIND);
+            model.usable += usize::from(pair.behind() >= UNUSABLE_LAG);
         }
     }
 }
 
 impl ModelPlan {
-    /// `engines` names the engine of every pair, sorted.
+    /// `engines` holds the engine of each pair, sorted.
     fn of(
         model: ModelKey,
         weights: &[EngineWeights],
         engines: &[UpstreamKey],
-        a_version: usize,
+        engines_per_version: usize,
     ) -> Self {
-        let own = || weights.iter().filter(|held| held.model == model);
-        let usable = own().filter(|held| held.loading || held.behind() < USELESS_BEHIND);
-        let newest = own().filter(|held| held.loading || held.behind() == 0);
+        let of_model = || weights.iter().filter(|pair| pair.model == model);
+        let usable = of_model().filter(|pair| pair.loading || pair.behind() < UNUSABLE_LAG);
+        let newest = of_model().filter(|pair| pair.loading || pair.behind() == 0);
         let models_at = |engine: UpstreamKey| {
-            let first = engines.partition_point(|held| *held < engine);
-            engines[first..].partition_point(|held| *held == engine)
+            let first = engines.partition_point(|other| *other < engine);
+            engines[first..].partition_point(|other| *other == engine)
         };
-        let is_alone = |at: &usize| {
-            let held = &weights[*at];
-            held.behind() >= USELESS_BEHIND && models_at(held.engine) == 1
+        let is_sole_model = |at: &usize| {
+            let pair = &weights[*at];
+            pair.behind() >= UNUSABLE_LAG && models_at(pair.engine) == 1
         };
         let is_behind = |at: &usize| {
-            let held = &weights[*at];
-            held.model == model && held.behind() > 0 && !held.unavailable
+            let pair = &weights[*at];
+            pair.model == model && pair.behind() > 0 && !pair.unavailable
         };
         let mut behind: Vec<usize> = (0..weights.len()).filter(is_behind).collect();
-        behind.sort_unstable_by_key(|at| Reverse(order_of(weights, *at)));
-        let (alone, others) = behind.into_iter().partition(is_alone);
+        behind.sort_unstable_by_key(|at| Reverse(load_order(weights, *at)));
+        let (sole_candidates, other_candidates) = behind.into_iter().partition(is_sole_model);
         Self {
             model,
-            a_version,
+            engines_per_version,
             usable: usable.count(),
             newest: newest.count(),
-            alone,
-            others,
+            sole_candidates,
+            other_candidates,
         }
     }
 
-    /// The best engine of this model to load now, if any is wanted.
+    /// The best engine to load this model now, if another load is wanted.
     fn next(
         &mut self,
         weights: &[EngineWeights],
         is_busy: impl Fn(&usize) -> bool,
     ) -> Option<usize> {
-        // An engine that loads one model stays busy for as long as loads are planned.
-        for candidates in [&mut self.alone, &mut self.others] {
+        // An engine that loads one model stays busy while loads are planned.
+        for candidates in [&mut self.sole_candidates, &mut self.other_candidates] {
             while candidates.last().is_some_and(&is_busy) {
                 candidates.pop();
             }
         }
-        let is_wanted = self.newest < self.a_version;
-        let other = self.others.last().filter(|_| is_wanted);
-        let wanted = [self.alone.last(), other].into_iter().flatten().copied();
-        wanted.min_by_key(|at| order_of(weights, *at))
+        let is_wanted = self.newest < self.engines_per_version;
+        let other = self.other_candidates.last().filter(|_| is_wanted);
+        let wanted = [self.sole_candidates.last(), other]
+            .into_iter()
+            .flatten()
+            .copied();
+        wanted.min_by_key(|at| load_order(weights, *at))
     }
 }
 
 impl EngineWeights {
-    /// Versions behind the named one.
+    /// Number of versions behind the announced one.
     const fn behind(&self) -> u64 {
         self.named.saturating_sub(self.version)
     }
 }
 
-/// Order of the engines of one model; the lowest loads first.
-fn order_of(weights: &[EngineWeights], at: usize) -> (Reverse<u64>, Reverse<usize>) {
+/// Sort key of the engines of one model; the lowest loads first.
+fn load_order(weights: &[EngineWeights], at: usize) -> (Reverse<u64>, Reverse<usize>) {
     (Reverse(weights[at].behind()), Reverse(at))
 }
 
-fn loading(weights: &[EngineWeights]) -> impl Iterator<Item = &EngineWeights> {
-    weights.iter().filter(|held| held.loading)
+fn loading_pairs(weights: &[EngineWeights]) -> impl Iterator<Item = &EngineWeights> {
+    weights.iter().filter(|pair| pair.loading)
 }
