--- a/crates/policy/src/load_limit.rs
+++ b/crates/policy/src/load_limit.rs
@@ -1,87 +1,90 @@
-//! How many engines may load new weights at once.
+//! Limits how many engines load new weights at the same time.
 //!
-//! **Load:** trainers name a version every few seconds for a pool of any size, and the
-//! weight store serves a few loads at once; how many, nothing tells. **Without it:** a part
-//! of the pool loads at once, each load takes many times as long, and no engine has a
-//! version before the step that needs it is due. **How:** loads
-//! that take little longer than the quickest one let more run at once, loads that take much
-//! longer fewer. Until a first one was slow the limit doubles in the time of a load, so that
-//! the first versions of a large pool wait for a few loads, whatever its size.
+//! Trainers announce a version every few seconds, for pools of any size. The weight store serves
+//! only a few loads at a time, and does not report how many. With a fixed share of the pool
+//! loading at the same time, each load may take many times as long, and no engine has a version
+//! before the step that needs it is due.
+//!
+//! The limit adapts to the load times (additive increase, multiplicative decrease): loads that
+//! take little longer than the quickest one raise it, and much slower loads lower it. Until the
+//! first slow load, the limit doubles within the time of a load, so that the first versions of a
+//! large pool wait for a few loads only, whatever its size.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Loads at once before any has ended: what a middling pool needs.
-const AT_FIRST: f64 = 16.0;
+/// Initial limit: enough for a pool of medium size.
+const INITIAL_LIMIT: f64 = 16.0;
 
-/// Fewest loads at once. A load that is slow with so few tells that loads take longer now,
-/// or that the quickest one was measured too short.
-const LEAST: f64 = 2.0;
+/// Lower bound of the limit. If a load is slow even then, loads take longer now or the time of the
+/// quickest one was measured too short, so that time is replaced.
+const MIN_LIMIT: f64 = 2.0;
 
-/// A load that takes this many times as long as the quickest one waited for others at the
-/// weight store. One does not wait for less: that it has ended is known late.
-const SLOW: f64 = 1.6;
+/// A load that takes at least this multiple of the quickest one had to wait for others at the
+/// weight store. Smaller multiples may only mean that the end of the load was noticed late.
+const SLOW_FACTOR: f64 = 1.6;
 
-/// A load within this many times the quickest one found the weight store free.
-const QUICK: f64 = 1.35;
+/// A load that takes at most this multiple of the quickest one did not wait at the weight store.
+const QUICK_FACTOR: f64 = 1.35;
 
-/// What is left of the limit after a slow load.
-const BACK_OFF: f64 = 0.8;
+/// Factor by which the limit is reduced after a slow load.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// What a quick load adds, while as many run as may: the limit doubles in the time of a load
-/// before any was slow, and grows by half of itself after.
-const GROWTH_AT_FIRST: f64 = 1.0;
-const GROWTH: f64 = 0.5;
+/// Increase of the limit after a quick load while the limit is reached: before the first slow
+/// load, the limit doubles within the time of a load; after it, the limit grows by half.
+const INITIAL_INCREASE: f64 = 1.0;
+const INCREASE: f64 = 0.5;
 
-/// Learns how many loads the weight store serves at once.
+/// Adaptive limit of concurrent loads at the weight store.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadLimit {
     limit: f64,
     quickest: Option<Duration>,
     /// When the limit was last lowered.
-    lowered: Option<Instant>,
+    lowered_at: Option<Instant>,
 }
 
 impl Default for LoadLimit {
     fn default() -> Self {
         Self {
-            limit: AT_FIRST,
+            limit: INITIAL_LIMIT,
             quickest: None,
-            lowered: None,
+            lowered_at: None,
         }
     }
 }
 
 impl LoadLimit {
-    /// A load has ended that took so long; `full` if as many ran as may.
-    pub fn ended(&mut self, now: Instant, took: Duration, full: bool) {
-        let known = self.quickest.filter(|_| self.limit > LEAST);
+    /// Records the time of a load that ended. `is_full`: whether the limit was reached.
+    pub fn ended(&mut self, now: Instant, took: Duration, is_full: bool) {
+        let known = self.quickest.filter(|_| self.limit > MIN_LIMIT);
         let quickest = known.unwrap_or(took).min(took);
         self.quickest = Some(quickest);
-        let times = took.as_secs_f64() / quickest.as_secs_f64().max(1e-6);
-        if times >= SLOW {
+        let ratio = took.as_secs_f64() / quickest.as_secs_f64().max(1e-6);
+        if ratio >= SLOW_FACTOR {
             self.lower(now, took);
-        } else if times <= QUICK && full {
-            self.limit += if self.lowered.is_some() {
-                GROWTH
+        } else if ratio <= QUICK_FACTOR && is_full {
+            self.limit += if self.lowered_at.is_some() {
+                INCREASE
             } else {
-                GROWTH_AT_FIRST
+                INITIAL_INCREASE
             };
         }
     }
 
-    /// Loads that ran at the same time tell of the same crowd: once for all of them.
+    /// Lowers the limit once for all loads that ran at the same time, since they were slow for the
+    /// same reason.
     fn lower(&mut self, now: Instant, took: Duration) {
-        let is_told = |at: Instant| now.duration_since(at) < took;
-        if !self.lowered.is_some_and(is_told) {
-            self.limit = (self.limit * BACK_OFF).max(LEAST);
-            self.lowered = Some(now);
+        let ran_then = |at: Instant| now.duration_since(at) < took;
+        if !self.lowered_at.is_some_and(ran_then) {
+            self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
+            self.lowered_at = Some(now);
         }
     }
 
-    /// Engines that may load at once, `most` at the most.
+    /// Number of engines that may load at the same time, at least 1 and at most `max_loads`.
     #[must_use]
-    pub fn at_once(&self, most: usize) -> usize {
-        (self.limit as usize).min(most).max(1)
+    pub fn at_once(&self, max_loads: usize) -> usize {
+        (self.limit as usize).min(max_loads).max(1)
     }
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -1,104 +1,106 @@
-//! When a feed starts to draft its next step.
+//! Decides when a feed starts to generate the samples of its next step.
 //!
-//! **Load:** a trainer that trains on one lot while the next is drafted, and
-//! publishes new weights when it is through. **Without it:** drafting starts as
-//! soon as there is room, and a step that takes less time than the training is
-//! drafted whole with weights that are replaced before the lot is taken: every
-//! sample is a version old, and engines that live callers could have used were
-//! busy early for nothing. Starting later makes samples fresher, and at some
-//! point leaves the trainer without a lot. One weight says which counts more.
+//! A trainer trains on one lot (the batch of samples of one step) while the next one is generated,
+//! and publishes new weights when it is done. If generation started as soon as there is room, a
+//! step that takes less time than the training would be generated entirely with weights that are
+//! replaced before the trainer takes the lot: every sample would be one version old, and engines
+//! would be busy early without need, at the cost of live callers. A later start makes samples
+//! fresher, but at some point leaves the trainer idle without a lot. The staleness weight of the
+//! feed balances the two.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// At the least weight above none a step starts this many of its usual times
-/// before the trainer needs it: what one with a crash in it takes.
-const LEAD_MOST: f64 = 1.5;
+/// Lead of a step before the trainer needs it, as a multiple of its mean duration, for a
+/// staleness weight just above 0 percent: the duration of a step in which an engine crashes.
+const MAX_LEAD: f64 = 1.5;
 
-/// At the largest weight below all it starts with no time to spare. Starting
-/// later than that leaves the trainer idle and makes no sample fresher, as long
-/// as the engines have no newer weights.
-const LEAD_LEAST: f64 = 1.0;
+/// Lead for a staleness weight just below 100 percent: no time to spare. A later start would leave
+/// the trainer idle without making samples fresher, as the engines have no newer weights yet.
+const MIN_LEAD: f64 = 1.0;
 
-/// Weight of the newest time in an estimate: about four steps make it.
+/// Weight of the newest duration, for a mean over about four steps.
 const NEWEST_WEIGHT: f64 = 0.25;
 
-/// Where weights are published later than usual or an engine does not take them, a
-/// start that was to wait for them waits this many usual times at most: a trainer
-/// may not publish after each lot.
-const WAIT_MOST: f64 = 1.25;
+/// Maximum wait for new weights, as a multiple of the mean training time. It ends the wait if the
+/// trainer does not publish weights after each lot, publishes late, or an engine does not load
+/// them.
+const MAX_WEIGHTS_WAIT: f64 = 1.25;
 
-/// Learns how long steps and trainings take, and says when the next step starts.
+/// Measures how long steps and training take, and computes when the next step starts.
 #[derive(Debug, Default)]
 pub struct Pace {
-    accepted: Option<Instant>,
-    published: bool,
-    /// Every engine serves what was published since.
-    swapped: bool,
-    train_s: Option<f64>,
-    step_s: Option<f64>,
+    /// When the trainer accepted its last lot.
+    accepted_at: Option<Instant>,
+    /// Whether weights were published since then.
+    is_published: bool,
+    /// Whether every engine serves these weights.
+    is_swapped: bool,
+    /// Mean time from the acceptance of a lot to the publication of weights.
+    mean_train_s: Option<f64>,
+    /// Mean time to generate a step.
+    mean_step_s: Option<f64>,
 }
 
 impl Pace {
-    /// The trainer accepted a lot and now trains on it.
+    /// Records that the trainer accepted a lot and now trains on it.
     pub fn accepted(&mut self, now: Instant) {
-        self.accepted = Some(now);
-        self.published = false;
-        self.swapped = false;
+        self.accepted_at = Some(now);
+        self.is_published = false;
+        self.is_swapped = false;
     }
 
-    /// The trainer published weights.
+    /// Records that the trainer published weights.
     pub fn published(&mut self, now: Instant) {
-        if let Some(accepted) = self.accepted.filter(|_| !self.published) {
-            let train_s = now.saturating_duration_since(accepted).as_secs_f64();
-            self.train_s = Some(blend(self.train_s, train_s));
+        if let Some(accepted_at) = self.accepted_at.filter(|_| !self.is_published) {
+            let train_s = now.saturating_duration_since(accepted_at).as_secs_f64();
+            self.mean_train_s = Some(moving_average(self.mean_train_s, train_s));
         }
-        self.published = true;
-        self.swapped = false;
+        self.is_published = true;
+        self.is_swapped = false;
     }
 
-    /// Every engine serves the newest weights.
+    /// Records that every engine serves the newest weights.
     pub fn swapped(&mut self) {
-        self.swapped = self.published;
+        self.is_swapped = self.is_published;
     }
 
-    /// A step was drafted whole in this time.
-    pub fn drafted(&mut self, step: Duration) {
-        self.step_s = Some(blend(self.step_s, step.as_secs_f64()));
+    /// Records how long it took to generate a whole step.
+    pub fn drafted(&mut self, took: Duration) {
+        self.mean_step_s = Some(moving_average(self.mean_step_s, took.as_secs_f64()));
     }
 
-    /// How long the next step is to wait yet. At a weight of 0 percent it starts
-    /// at once, at 100 it waits until every engine has new weights; between, it
-    /// starts so that it is whole when the trainer needs it, with the less time
-    /// to spare the more staleness weighs.
+    /// Time until the next step starts. With a staleness weight of 0 percent it starts at once;
+    /// with 100 it waits until every engine serves new weights. In between it starts so that it is
+    /// complete when the trainer needs it, with less time to spare the higher the weight is.
     #[must_use]
     pub fn wait(&self, staleness_weight_percent: u32, now: Instant) -> Duration {
-        let (Some(accepted), Some(train_s), Some(step_s)) =
-            (self.accepted, self.train_s, self.step_s)
+        let (Some(accepted_at), Some(train_s), Some(step_s)) =
+            (self.accepted_at, self.mean_train_s, self.mean_step_s)
         else {
             return Duration::ZERO;
         };
-        let for_weights = staleness_weight_percent >= 100;
-        let is_time = if for_weights {
-            self.swapped
+        let awaits_weights = staleness_weight_percent >= 100;
+        let is_over = if awaits_weights {
+            self.is_swapped
         } else {
-            self.published
+            self.is_published
         };
-        if staleness_weight_percent == 0 || is_time {
+        if staleness_weight_percent == 0 || is_over {
             return Duration::ZERO;
         }
         let weight = f64::from(staleness_weight_percent) / 100.0;
-        let lead = LEAD_MOST - (LEAD_MOST - LEAD_LEAST) * weight;
-        let start_s = if for_weights {
-            train_s * WAIT_MOST
+        let lead = MAX_LEAD - (MAX_LEAD - MIN_LEAD) * weight;
+        let start_s = if awaits_weights {
+            train_s * MAX_WEIGHTS_WAIT
         } else {
             (train_s - step_s * lead).max(0.0)
         };
-        let start = accepted + Duration::from_secs_f64(start_s);
-        start.saturating_duration_since(now)
+        let start_at = accepted_at + Duration::from_secs_f64(start_s);
+        start_at.saturating_duration_since(now)
     }
 }
 
-fn blend(old: Option<f64>, newest: f64) -> f64 {
-    old.map_or(newest, |old| old + NEWEST_WEIGHT * (newest - old))
+fn moving_average(mean: Option<f64>, newest: f64) -> f64 {
+    mean.map_or(newest, |mean| mean + NEWEST_WEIGHT * (newest - mean))
 }
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -1,13 +1,15 @@
-//! How long work takes at an upstream, and how much of that is caused by neighbours: other
-//! workloads that share its VM or host. The slowdown that they cause is called a disturbance.
+//! Estimates how long work takes at an upstream, and how much of that is caused by noisy
+//! neighbours: other workloads that share its VM or host. The slowdown that they cause is called
+//! a disturbance.
 //!
-//! **Load:** upstreams of one service differ widely in speed, and neighbours on their VMs
-//! slow some of them down for less than a second at a time. **Without it:** one mean
-//! takes a short disturbance for lasting slowness: samples are moved away from engines that
-//! are fast again when the move ends, and calls avoid an upstream for seconds that was slow
-//! for a moment. **How:** an upstream reports how long work takes on its VM at the moment.
-//! Measured times are divided by that figure, which gives the upstream's own (undisturbed)
-//! time. The expected time of new work is the own time, multiplied by the figure while the
+//! Upstreams of one service differ widely in speed, and noisy neighbours slow some of them down
+//! for less than a second at a time. A single mean cannot tell a short disturbance from lasting
+//! slowness: samples would be moved away from engines that are fast again when the move ends,
+//! and calls would avoid an upstream for seconds that was slow for a moment.
+//!
+//! Upstreams therefore report how long work currently takes on their VM, in percent of the
+//! undisturbed time. Measured times are divided by that figure, which gives the undisturbed time.
+//! The expected time of new work is the undisturbed time, multiplied by the figure while the
 //! report is recent.
 
 use std::time::Duration;
@@ -15,124 +17,125 @@
 
 use crate::work::ToldLoad;
 
-/// A report counts less with its age, and not at all from this age on: disturbances
-/// last less than a second.
-const REPORT_KEPT: Duration = Duration::from_secs(1);
+/// Age from which a report is ignored. Its weight decreases linearly until then, since
+/// disturbances last less than a second.
+const REPORT_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Reported loads older than this are left out of the mean: a high load of an upstream that
-/// gets no calls would never be updated.
-const PEER_LOAD_KEPT: Duration = Duration::from_secs(3);
+/// Reported loads of this age or older are left out of the mean: a high load of an upstream
+/// that gets no calls would never be updated.
+const PEER_LOAD_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Expected remaining duration of a disturbance that is reported now.
-const DISTURBANCE_LEFT_S: f64 = 0.3;
+/// Expected remaining duration of a disturbance at the time of its report.
+const REMAINING_DISTURBANCE_S: f64 = 0.3;
 
-/// Largest age of a report that is applied to a measured time.
-const EXPLAINING_REPORT_AGE: Duration = Duration::from_millis(200);
+/// Maximum age of a report that is applied to a measured time.
+const APPLIED_REPORT_MAX_AGE: Duration = Duration::from_millis(200);
 
-/// A reported figure other than [`USUAL_PERCENT`] that has not changed for this long is
-/// ignored: a measured figure changes many times a second.
+/// Time after which an unchanged figure other than [`UNDISTURBED_PERCENT`] is ignored: a measured
+/// figure changes many times a second.
 const STUCK_AFTER: Duration = Duration::from_secs(3);
 
-/// The figure of an upstream that is not disturbed.
-const USUAL_PERCENT: u32 = 100;
+/// Reported figure of an upstream that is not disturbed.
+const UNDISTURBED_PERCENT: u32 = 100;
 
-/// Least factor for which a figure counts. Work is not expected to be faster than usual,
-/// so that a figure of zero draws no work to an upstream.
-const FACTOR_LEAST: f64 = 1.0;
+/// Lower bound of the factor. Work is not expected to be faster than undisturbed, so that a
+/// reported figure of zero does not attract work to an upstream.
+const MIN_FACTOR: f64 = 1.0;
 
-/// Largest factor for which a figure counts.
-const FACTOR_MOST: f64 = 4.0;
+/// Upper bound of the factor.
+const MAX_FACTOR: f64 = 4.0;
 
-/// Observed time over which the own speed is averaged.
+/// Observed time over which the undisturbed time is averaged.
 const AVERAGING_TIME_S: f64 = 2.0;
 
-/// Weight of a mean that is known from before the first report, as observed time.
+/// Weight of a mean that was known before the first report, as observed time.
 const PRIOR_WEIGHT_S: f64 = 0.5;
 
-/// Weight of a measured time without a recent report: an unreported disturbance then changes
-/// the own speed by a tenth only, and lasting slowness shows within seconds.
-const UNEXPLAINED: f64 = 0.25;
+/// Weight of a measured time without a recent report. An unreported disturbance then changes
+/// the undisturbed time by only a tenth, and lasting slowness still shows within seconds.
+const UNREPORTED_WEIGHT: f64 = 0.25;
 
-/// Measured times are capped at this multiple of the own time: a longer one is an event after
-/// a pause.
-const OUTLIER: f64 = 6.0;
+/// Measured times are capped at this multiple of the undisturbed time: a longer one is an event
+/// after a pause.
+const OUTLIER_FACTOR: f64 = 6.0;
 
-/// Time that a move costs: a connection, a wait for the engine, and processing the prompt and
-/// the text so far again.
+/// Cost of a move: a new connection, the wait for the engine, and prefill of the prompt and the
+/// text generated so far.
 const MOVE_COST_S: f64 = 0.15;
 
-/// A sample is moved only if its rest takes this factor longer on its own engine.
-const SHORTER_FACTOR: f64 = 1.4;
+/// Minimum ratio of the remaining time on the current engine to that after a move.
+const MIN_MOVE_SPEEDUP: f64 = 1.4;
 
-/// Least time that a move must save as well; less is not worth a connection.
-const GAIN_LEAST_S: f64 = 1.0;
+/// Minimum time that a move must save in addition; less is not worth a connection.
+const MIN_MOVE_GAIN_S: f64 = 1.0;
 
-/// Weight of one sample in the usual number of events, once enough samples have ended.
-const LENGTH_STEP: f64 = 0.002;
+/// Weight of one ended sample in the mean and the histogram, once enough samples have ended.
+const MIN_SAMPLE_WEIGHT: f64 = 0.002;
 
-/// The last report of an upstream about its VM.
+/// Last report of an upstream about its VM.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     percent: u32,
-    at: Instant,
-    /// Since when the figure has been the same, without a gap of [`REPORT_KEPT`].
-    since: Instant,
+    reported_at: Instant,
+    /// Time since which the figure is unchanged, without a gap of [`REPORT_MAX_AGE`].
+    unchanged_since: Instant,
 }
 
-/// The own (undisturbed) speed of an upstream, and the disturbance that it reports.
+/// Undisturbed time per unit of work of an upstream, and the disturbance that it reports.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Speed {
-    /// Time of one unit of work (an event or a call) where nothing disturbs the VM.
+    /// Time of one unit of work (an event or a call) on the undisturbed VM.
     own_s: Option<f64>,
-    /// Observed time that the own speed rests on, at most [`AVERAGING_TIME_S`].
+    /// Observed time that the estimate is based on, at most [`AVERAGING_TIME_S`].
     observed_s: f64,
-    learnt_at: Option<Instant>,
+    last_learnt_at: Option<Instant>,
     report: Option<Report>,
 }
 
 impl Speed {
-    /// Starts from a mean time per unit of work, in seconds, that is known from before the first
+    /// Starts from the mean time per unit of work, in seconds, that was known before the first
     /// report; `None` if there is none.
     #[must_use]
     pub const fn known(own_s: Option<f64>) -> Self {
         Self {
             own_s,
             observed_s: if own_s.is_some() { PRIOR_WEIGHT_S } else { 0.0 },
-            learnt_at: None,
+            last_learnt_at: None,
             report: None,
         }
     }
 
-    /// Records the reported time of work at the moment, in percent of the usual time.
+    /// Records a report of how long work currently takes, in percent of the undisturbed time.
     pub fn note_report(&mut self, now: Instant, percent: u32) {
-        let continues =
-            |held: &Report| held.percent == percent && now.duration_since(held.at) < REPORT_KEPT;
-        let same = self.report.filter(continues);
+        let is_repeat = |last: &Report| {
+            last.percent == percent && now.duration_since(last.reported_at) < REPORT_MAX_AGE
+        };
+        let repeated = self.report.filter(is_repeat);
         self.report = Some(Report {
             percent,
-            at: now,
-            since: same.map_or(now, |held| held.since),
+            reported_at: now,
+            unchanged_since: repeated.map_or(now, |last| last.unchanged_since),
         });
     }
 
     /// Records that a unit of work took this long.
     pub fn learn(&mut self, now: Instant, took: Duration) {
-        let before = self.learnt_at.replace(now);
-        let since = before.map_or(took, |before| now.duration_since(before));
-        let (unit_s, counts) = match self.explaining(now) {
+        let previous = self.last_learnt_at.replace(now);
+        let elapsed = previous.map_or(took, |previous| now.duration_since(previous));
+        let (unit_s, weight) = match self.recent_factor(now) {
             Some(factor) => (took.as_secs_f64() / factor, 1.0),
-            None => (took.as_secs_f64(), UNEXPLAINED),
+            None => (took.as_secs_f64(), UNREPORTED_WEIGHT),
         };
-        // Units that run at the same time observe the same time once.
-        let observed_s = since.min(took).as_secs_f64() * counts;
-        let held_s = self.own_s.unwrap_or(unit_s);
-        let unit_s = unit_s.min(held_s * OUTLIER);
+        // Units that run concurrently share the observed time.
+        let observed_s = elapsed.min(took).as_secs_f64() * weight;
+        let mean_s = self.own_s.unwrap_or(unit_s);
+        let unit_s = unit_s.min(mean_s * OUTLIER_FACTOR);
         self.observed_s = (self.observed_s + observed_s).min(AVERAGING_TIME_S);
         let step = (observed_s / self.observed_s.max(f64::MIN_POSITIVE)).min(1.0);
-        self.own_s = Some(held_s + (unit_s - held_s) * step);
+        self.own_s = Some(mean_s + (unit_s - mean_s) * step);
     }
 
-    /// Seconds per unit of work on the undisturbed VM; `None` until one is known.
+    /// Seconds per unit of work on the undisturbed VM; `None` until a time is known.
     #[must_use]
     pub const fn own_s(&self) -> Option<f64> {
         self.own_s
@@ -145,7 +148,7 @@
         let Some(report) = self.report else {
             return 1.0;
         };
-        1.0 + (report.factor(now) - 1.0) * freshness(now, report.at)
+        1.0 + (report.factor(now) - 1.0) * freshness(now, report.reported_at)
     }
 
     /// Expected delay, in seconds, of work that starts now and takes `work_s` seconds on the
@@ -153,67 +156,68 @@
     #[must_use]
     pub fn expected_delay_s(&self, now: Instant, work_s: f64) -> f64 {
         let disturbance = self.disturbance(now);
-        let done_disturbed_s = work_s.min(DISTURBANCE_LEFT_S / disturbance);
-        done_disturbed_s * (disturbance - 1.0)
+        let disturbed_work_s = work_s.min(REMAINING_DISTURBANCE_S / disturbance);
+        disturbed_work_s * (disturbance - 1.0)
     }
 
-    /// The measured time divided by the factor of a recent report; unchanged without one.
+    /// The measured time divided by the factor of a recent report; unchanged if there is none.
     #[must_use]
     pub fn unexplained(&self, now: Instant, took: Duration) -> Duration {
-        took.div_f64(self.explaining(now).unwrap_or(1.0))
+        took.div_f64(self.recent_factor(now).unwrap_or(1.0))
     }
 
-    /// Factor of the last report; `None` if it is too old to apply to a measured time.
-    fn explaining(&self, now: Instant) -> Option<f64> {
-        let young = self
+    /// Factor of the last report; `None` if it is too old to be applied to a measured time.
+    fn recent_factor(&self, now: Instant) -> Option<f64> {
+        let recent = self
             .report
-            .filter(|report| now.duration_since(report.at) <= EXPLAINING_REPORT_AGE);
-        young.map(|report| report.factor(now))
+            .filter(|report| now.duration_since(report.reported_at) <= APPLIED_REPORT_MAX_AGE);
+        recent.map(|report| report.factor(now))
     }
 }
 
 impl Report {
     fn factor(&self, now: Instant) -> f64 {
-        let stands_still = now.duration_since(self.since) >= STUCK_AFTER;
-        if stands_still && self.percent != USUAL_PERCENT {
+        let is_stuck = now.duration_since(self.unchanged_since) >= STUCK_AFTER;
+        if is_stuck && self.percent != UNDISTURBED_PERCENT {
             return 1.0;
         }
-        let factor = f64::from(self.percent) / f64::from(USUAL_PERCENT);
-        factor.clamp(FACTOR_LEAST, FACTOR_MOST)
+        let factor = f64::from(self.percent) / f64::from(UNDISTURBED_PERCENT);
+        factor.clamp(MIN_FACTOR, MAX_FACTOR)
     }
 }
 
-/// From 1 for a report of this moment to 0 for one that is too old to count.
-fn freshness(now: Instant, at: Instant) -> f64 {
-    let age = now.duration_since(at).as_secs_f64();
-    (1.0 - age / REPORT_KEPT.as_secs_f64()).max(0.0)
+/// Weight of a report by its age: 1 if it is new, 0 from [`REPORT_MAX_AGE`] on.
+fn freshness(now: Instant, reported_at: Instant) -> f64 {
+    let age_s = now.duration_since(reported_at).as_secs_f64();
+    (1.0 - age_s / REPORT_MAX_AGE.as_secs_f64()).max(0.0)
 }
 
-/// Numbers of events that are counted together.
+/// Width of a histogram bucket, in events.
 const BUCKET_EVENTS: u32 = 4;
 
-/// Number of buckets; the last one also counts all longer samples.
+/// Number of histogram buckets; the last one also counts all longer samples.
 const BUCKETS: usize = 64;
 
-/// If a smaller part of the samples is longer, their mean is not used.
-const LONGER_LEAST: f64 = 0.005;
+/// Minimum share of longer samples for which their mean is used.
+const MIN_LONGER_SHARE: f64 = 0.005;
 
-/// Number of samples from which the counts are used: fewer may not include a long one.
-const TRUSTED_AFTER: u32 = 64;
+/// Minimum number of ended samples for which the histogram is used: fewer may not include a
+/// long one.
+const MIN_SAMPLES: u32 = 64;
 
-/// Distribution of the number of events per sample.
+/// Histogram of the number of events per sample. Older samples lose weight exponentially.
 #[derive(Debug, Clone)]
 pub struct EventCounts {
-    events: f64,
+    mean_events: f64,
     samples: u32,
-    /// Parts of the samples by their number of events.
+    /// Shares of the samples by their number of events.
     buckets: [f64; BUCKETS],
 }
 
 impl Default for EventCounts {
     fn default() -> Self {
         Self {
-            events: 0.0,
+            mean_events: 0.0,
             samples: 0,
             buckets: [0.0; BUCKETS],
         }
@@ -224,55 +228,55 @@
     /// Records a sample that has ended with this number of events.
     pub fn learn(&mut self, events: u32) {
         self.samples = self.samples.saturating_add(1);
-        let step = LENGTH_STEP.max(1.0 / f64::from(self.samples));
-        self.events += (f64::from(events) - self.events) * step;
-        for held in &mut self.buckets {
-            *held -= *held * step;
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.mean_events += (f64::from(events) - self.mean_events) * weight;
+        for share in &mut self.buckets {
+            *share -= *share * weight;
         }
         let bucket = (events / BUCKET_EVENTS) as usize;
-        self.buckets[bucket.min(BUCKETS - 1)] += step;
+        self.buckets[bucket.min(BUCKETS - 1)] += weight;
     }
 
-    /// Usual number of events; 0 until a sample has ended.
+    /// Mean number of events; 0 until a sample has ended.
     #[must_use]
     pub const fn usual(&self) -> f64 {
-        self.events
+        self.mean_events
     }
 
-    /// Expected number of further events of a sample that has made this many: the mean over
-    /// longer samples. A sample longer than nearly all others is expected to be half done.
+    /// Expected number of further events of a sample that has produced `events_done`: the mean
+    /// over longer samples. A sample longer than nearly all others is expected to be half done.
     #[must_use]
-    pub fn rest(&self, made: u32) -> f64 {
-        let made_events = f64::from(made);
-        if self.samples < TRUSTED_AFTER {
-            return made_events.max(self.events);
+    pub fn rest(&self, events_done: u32) -> f64 {
+        let done = f64::from(events_done);
+        if self.samples < MIN_SAMPLES {
+            return done.max(self.mean_events);
         }
-        let (mut parts, mut rests) = (0.0, 0.0);
-        let first = (made / BUCKET_EVENTS) as usize + 1;
-        for (bucket, part) in self.buckets.iter().enumerate().skip(first) {
+        let (mut longer_share, mut weighted_sum) = (0.0, 0.0);
+        let first = (events_done / BUCKET_EVENTS) as usize + 1;
+        for (bucket, share) in self.buckets.iter().enumerate().skip(first) {
             let middle = (bucket as f64 + 0.5) * f64::from(BUCKET_EVENTS);
-            parts += part;
-            rests += part * (middle - made_events);
+            longer_share += share;
+            weighted_sum += share * (middle - done);
         }
-        if parts < LONGER_LEAST {
-            return made_events;
+        if longer_share < MIN_LONGER_SHARE {
+            return done;
         }
-        rests / parts
+        weighted_sum / longer_share
     }
 }
 
-/// Expected time of the rest of a sample, where it is and elsewhere.
+/// Expected remaining time of a sample on its current engine and on another one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rest {
-    /// Seconds on its engine.
+    /// Remaining seconds on its current engine.
     pub here_s: f64,
-    /// Seconds on another engine, the cost of the move included.
+    /// Remaining seconds on another engine, including the cost of the move.
     pub there_s: f64,
 }
 
 impl Rest {
-    /// Adds the cost of a move. `here_s` is to be computed from the undisturbed speed of its
-    /// engine, `there_s` from the speed and the disturbance of the other one.
+    /// Adds the cost of a move to `there_s`. The caller computes `here_s` from the undisturbed
+    /// time of the current engine, and `there_s` from the time and disturbance of the other one.
     #[must_use]
     pub const fn with_move(here_s: f64, there_s: f64) -> Self {
         Self {
@@ -281,122 +285,125 @@
         }
     }
 
-    /// Whether the sample ends enough sooner elsewhere to be moved.
+    /// Whether the sample would end enough sooner on the other engine to be moved.
     #[must_use]
     pub fn is_worth_moving(&self) -> bool {
         let gain_s = self.here_s - self.there_s;
-        gain_s >= GAIN_LEAST_S && self.here_s >= self.there_s * SHORTER_FACTOR
+        gain_s >= MIN_MOVE_GAIN_S && self.here_s >= self.there_s * MIN_MOVE_SPEEDUP
     }
 }
 
-/// Usual call time and load of the upstreams that serve calls.
+/// Median call time and mean load of the upstreams that serve calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Peers {
-    /// Median of their own times of a call.
-    call_s: Option<f64>,
-    /// Mean of the loads that they reported within [`PEER_LOAD_KEPT`].
-    load: f64,
+    /// Median of their undisturbed times of a call.
+    median_call_s: Option<f64>,
+    /// Mean of the loads that they reported within [`PEER_LOAD_MAX_AGE`].
+    mean_load: f64,
 }
 
 impl Peers {
-    /// Computed from the reports of these upstreams.
+    /// Computes both from these upstreams.
     #[must_use]
     pub fn of<'a>(now: Instant, upstreams: impl Iterator<Item = &'a CallSpeed> + Clone) -> Self {
-        let own_times = upstreams.clone().filter_map(|held| held.speed.own_s());
-        let mut times: Vec<f64> = own_times.collect();
+        let call_times = upstreams
+            .clone()
+            .filter_map(|upstream| upstream.speed.own_s());
+        let mut times: Vec<f64> = call_times.collect();
         times.sort_unstable_by(f64::total_cmp);
-        let is_kept = |held: &&CallSpeed| now.duration_since(held.load_at) < PEER_LOAD_KEPT;
-        let kept = upstreams.filter(is_kept);
-        let count = kept.clone().count();
-        let loads: f64 = kept.map(CallSpeed::reported_load).sum();
+        let is_recent =
+            |upstream: &&CallSpeed| now.duration_since(upstream.load_at) < PEER_LOAD_MAX_AGE;
+        let recent = upstreams.filter(is_recent);
+        let count = recent.clone().count();
+        let loads: f64 = recent.map(CallSpeed::reported_load).sum();
         Self {
-            call_s: times.get(times.len() / 2).copied(),
-            load: loads / count.max(1) as f64,
+            median_call_s: times.get(times.len() / 2).copied(),
+            mean_load: loads / count.max(1) as f64,
         }
     }
 }
 
-/// Speed and load of an upstream that serves calls, from its reports and this node's calls.
+/// Speed and load of an upstream that serves calls, from its reports and the calls of this node.
 #[derive(Debug, Clone, Copy)]
 pub struct CallSpeed {
     speed: Speed,
     load: ToldLoad,
     load_at: Instant,
-    /// Calls that this node has sent since the report.
-    sent_since: u32,
+    /// Calls that this node has sent since the last report.
+    sent_since_report: u32,
 }
 
 impl CallSpeed {
-    /// Created with the first report of an upstream's speed.
+    /// Starts from the first report of the upstream's speed.
     #[must_use]
     pub fn new(now: Instant, load: ToldLoad) -> Self {
         let mut first = Self {
             speed: Speed::default(),
             load,
             load_at: now,
-            sent_since: 0,
+            sent_since_report: 0,
         };
         first.note_load(now, load);
         first
     }
 
-    /// Records a report. If its `time_percent` is `None`, the earlier figure is kept until it
+    /// Records a report. If its `time_percent` is `None`, the earlier figure is used until it
     /// expires.
     pub fn note_load(&mut self, now: Instant, load: ToldLoad) {
         self.load = load;
         self.load_at = now;
-        self.sent_since = 0;
+        self.sent_since_report = 0;
         if let Some(percent) = load.time_percent {
             self.speed.note_report(now, percent);
         }
     }
 
-    /// A call was sent there.
+    /// Records that this node sent a call there.
     pub const fn note_sent(&mut self) {
-        self.sent_since += 1;
+        self.sent_since_report += 1;
     }
 
-    /// Records the time of an answered call. The estimated wait for a slot at the upstream is
-    /// taken out, since it does not depend on the VM's speed.
+    /// Records the time of an answered call, less the estimated wait for a slot at the upstream,
+    /// which does not depend on the VM's speed.
     pub fn learn(&mut self, now: Instant, took: Duration) {
         let waiting = f64::from(self.load.waiting) / f64::from(self.load.slots.max(1));
         self.speed.learn(now, took.div_f64(1.0 + waiting));
     }
 
-    /// The own speed and the reported disturbance.
+    /// Undisturbed time and reported disturbance.
     #[must_use]
     pub const fn speed(&self) -> &Speed {
         &self.speed
     }
 
-    /// Expected calls at the upstream, one sent now included, divided by its slots. As the
-    /// report ages, it is replaced by the usual load of the peers or by this node's own running
-    /// calls, whichever is larger.
+    /// Expected calls at the upstream, including one sent now, divided by its slots. As the
+    /// report ages, it is gradually replaced by the mean load of the peers or by the running calls
+    /// of this node, whichever is larger.
     #[must_use]
     pub fn load_with_one(&self, now: Instant, own_calls: u32, peers: &Peers) -> f64 {
         let fresh = freshness(now, self.load_at);
-        let sent = self.over_slots(self.sent_since);
-        let unreported = peers.load.max(self.over_slots(own_calls));
+        let sent = self.per_slot(self.sent_since_report);
+        let unreported = peers.mean_load.max(self.per_slot(own_calls));
         let before = (self.reported_load() + sent) * fresh + unreported * (1.0 - fresh);
-        before + self.over_slots(1)
+        before + self.per_slot(1)
     }
 
-    /// Calls that it reported last, over its slots.
+    /// Running and waiting calls in the last report, divided by the slots.
     fn reported_load(&self) -> f64 {
-        self.over_slots(self.load.running.saturating_add(self.load.waiting))
+        self.per_slot(self.load.running.saturating_add(self.load.waiting))
     }
 
-    fn over_slots(&self, calls: u32) -> f64 {
+    fn per_slot(&self, calls: u32) -> f64 {
         f64::from(calls) / f64::from(self.load.slots.max(1))
     }
 
-    /// Factor by which a call sent now is slower than on the peers.
+    /// Factor by which a call sent now takes longer than at the median of the peers.
     #[must_use]
     pub fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
-        let own = match (self.speed.own_s(), peers.call_s) {
-            (Some(own_s), Some(usual_s)) if usual_s > 0.0 => own_s / usual_s,
+        let undisturbed = match (self.speed.own_s(), peers.median_call_s) {
+            (Some(own_s), Some(median_s)) if median_s > 0.0 => own_s / median_s,
             _ => 1.0,
         };
-        own * self.speed.disturbance(now)
+        undisturbed * self.speed.disturbance(now)
     }
 }
--- a/crates/policy/src/step_order.rs
+++ b/crates/policy/src/step_order.rs
@@ -1,32 +1,33 @@
-//! In which order the samples of a trainer's step are drafted.
+//! Orders the samples of a trainer's step by their expected length, longest first.
 //!
-//! **Load:** a step of hundreds of samples, more than the engines run at once; one in
-//! twelve takes five times as long as the usual one; the trainer waits for nine groups
-//! of ten. **Without it:** a long sample that starts among the last makes the step as
-//! late as it is long, and slots go to groups that the trainer need not wait for.
-//! **How:** the longest samples by their trainer's estimate start first. The groups
-//! with the longest samples beyond those the trainer waits for go after all others.
+//! A step has hundreds of samples, more than the engines run at once. One in twelve takes five
+//! times as long as a typical one, and the trainer waits for nine groups of ten. A long sample
+//! that starts among the last would delay the step by its full length, and slots would go to
+//! surplus groups, which the trainer need not wait for.
+//!
+//! The samples with the largest length estimates of the trainer therefore start first. The
+//! surplus groups are those with the longest samples; they start after all others.
 
-/// A group that the trainer need not wait for counts as if it had come this much
-/// later: by then the samples of the next step have begun.
-const SURPLUS_LATER_MS: u64 = 5_000;
+/// Delay of surplus groups in the order: by then the samples of the next step have started.
+const SURPLUS_DELAY_MS: u64 = 5_000;
 
-/// Bits of a rank for the length of a sample.
+/// Number of low bits of a rank that hold the length of the sample.
 const LENGTH_BITS: u32 = 20;
 
-/// What is known of one sample.
+/// A sample of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sample {
-    /// Number of its group, in the trainer's order.
+    /// Index of its group within the step, in the trainer's order.
     pub group: usize,
-    /// Tokens of its answer as the trainer estimates them.
+    /// The trainer's estimate of the answer length in tokens; 0 if there is none.
     pub expected_tokens: u32,
 }
 
-/// Ranks of the samples of a step that came at `accepted_ms`; the lowest goes first.
+/// Ranks of the samples of a step that was accepted at `accepted_ms`, in milliseconds since the
+/// Unix epoch; the lowest goes first.
 ///
-/// Groups that come again from an earlier step stand first, take at most half of
-/// `target_groups`, and are waited for in any case: they are never surplus.
+/// Groups carried over from an earlier step have the lowest indices, are at most half of
+/// `target_groups`, and are never surplus.
 #[must_use]
 pub fn ranks(samples: &[Sample], target_groups: usize, accepted_ms: u64) -> Vec<u64> {
     let groups = samples
@@ -38,15 +39,15 @@
     for sample in samples {
         longest[sample.group] = longest[sample.group].max(sample.expected_tokens);
     }
-    let mut by_length: Vec<usize> = (target_groups.div_ceil(2).min(groups)..groups).collect();
-    by_length.sort_by_key(|group| std::cmp::Reverse(longest[*group]));
-    by_length.truncate(groups.saturating_sub(target_groups));
+    let mut surplus: Vec<usize> = (target_groups.div_ceil(2).min(groups)..groups).collect();
+    surplus.sort_by_key(|group| std::cmp::Reverse(longest[*group]));
+    surplus.truncate(groups.saturating_sub(target_groups));
     let rank = |sample: &Sample| {
-        let surplus = by_length.contains(&sample.group);
-        let came_ms = accepted_ms + if surplus { SURPLUS_LATER_MS } else { 0 };
-        let longest = (1 << LENGTH_BITS) - 1;
-        let length = u64::from(sample.expected_tokens).min(longest);
-        (came_ms << LENGTH_BITS) | (longest - length)
+        let is_surplus = surplus.contains(&sample.group);
+        let start_ms = accepted_ms + if is_surplus { SURPLUS_DELAY_MS } else { 0 };
+        let max_length = (1 << LENGTH_BITS) - 1;
+        let length = u64::from(sample.expected_tokens).min(max_length);
+        (start_ms << LENGTH_BITS) | (max_length - length)
     };
     samples.iter().map(rank).collect()
 }
--- a/crates/policy/src/straggler.rs
+++ b/crates/policy/src/straggler.rs
@@ -1,62 +1,61 @@
-//! Which sample of a step starts first, and when a draft goes on elsewhere.
+//! Mitigation of stragglers: which sample of a step starts first, and when a draft (the
+//! generation of one sample) is moved to another entry or engine.
 //!
-//! **Load:** a step is whole only with its last sample. A few samples are many
-//! times as long as the rest, engines crash in the middle of them, and the entry
-//! that hands them on may freeze or die. **Without it:** a long sample that is
-//! lost near its end starts again from nothing and adds its whole length to the
-//! step; one that starts last runs alone while every other engine idles; one
-//! whose entry is frozen is waited for until its timeout.
+//! A step is complete only with its last sample. A few samples are many times as long as the
+//! others, engines crash in the middle of them, and the entry (the process that forwards a draft
+//! to engines) may freeze or die. Without mitigation, a long sample that is lost near its end
+//! starts again from nothing and adds its full length to the step; one that starts last runs
+//! alone while all other engines idle; and one whose entry is frozen is waited for until its
+//! timeout.
 //!
-//! A draft goes on from its text so far, and is never drawn again because it is
-//! long: drawing again until an answer is short would hand the trainer shorter
-//! samples than its model makes.
+//! A moved draft continues from its text so far. A draft is never sampled again because it is
+//! long: resampling until an answer is short would bias the trainer's samples towards short ones.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time between two reports of an entry on one draft. Two seconds of text are
-/// what the death of an entry costs a sample; a report carries only new text.
+/// Interval at which an entry reports the new text of a draft. If an entry dies, a sample loses
+/// at most the text of one interval.
 pub const REPORT_EVERY: Duration = Duration::from_secs(2);
 
-/// An entry that has not reported for this long is taken for dead: three reports
-/// in a row were lost, which a slow network or a busy entry does not explain.
+/// Time without a report after which an entry is considered dead: three reports in a row are
+/// missing, which a slow network or a busy entry does not explain.
 pub const ENTRY_SILENT: Duration = Duration::from_secs(7);
 
-/// An engine that has sent nothing for this long is taken for stuck. Taking in a
-/// long prompt and swapping weights together stay below it; a full batch makes a
-/// chunk take about a second.
+/// Time without output after which an engine is considered stuck. Prefill of a long prompt plus
+/// a change of weights take less; with a full batch, a chunk takes about a second.
 pub const ENGINE_SILENT: Duration = Duration::from_secs(10);
 
-/// Engines that an entry asks for one draft, one after the other: one may crash
-/// and the next may still lack the weights. More is the sign of a prompt that
-/// fells engines, and the feed waits before it hands that one on again.
-const ENGINES: u32 = 3;
+/// Maximum number of engines that an entry tries for one draft, one after the other: one may
+/// crash and the next may still lack the weights. If more fail, the prompt probably crashes
+/// engines, and the feed waits before it sends that draft again.
+const MAX_ENGINES_PER_DRAFT: u32 = 3;
 
-/// Samples of a step that may be moved away from a silent entry, in percent:
-/// twice the share of one VM in nine, so that the loss of one VM is always made
-/// good, while silence everywhere does not double the load.
-const MOVES_PERCENT: usize = 25;
+/// Maximum share of a step's samples that may be moved away from silent entries, in percent.
+/// It is twice the share of one VM in nine, so that the loss of one VM is always covered, while
+/// silence of all entries does not double the load.
+const MAX_MOVES_PERCENT: usize = 25;
 
-/// Moves that even a small step has.
-const MOVES_LEAST: usize = 4;
+/// Number of moves that any step may make, however small.
+const MIN_MOVES: usize = 4;
 
-/// Prompts whose length is remembered, the newest ones.
-const PROMPTS_KNOWN: usize = 16_384;
+/// Number of prompts whose answer length is remembered, the newest ones.
+const MAX_PROMPTS: usize = 16_384;
 
-/// Weight of the newest length: the model changes with each step, and so do its
-/// answers; about four answers make the estimate.
+/// Weight of the newest length, for a mean over about four answers: the model changes with each
+/// step, and so do its answers.
 const NEWEST_WEIGHT: f64 = 0.25;
 
-/// What is done about stragglers.
+/// Which measures against stragglers are enabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rules {
-    /// A draft that broke off goes on from its text so far.
+    /// Whether an interrupted draft continues from its text so far.
     pub resumes: bool,
-    /// Samples that are expected to be long start first.
+    /// Whether samples that are expected to be long start first.
     pub longest_first: bool,
-    /// Drafts are taken away from entries that fall silent.
+    /// Whether drafts are moved away from entries that stop reporting.
     pub leaves_silent: bool,
-    /// Engines that an entry may ask for one draft.
+    /// Maximum number of engines that an entry tries for one draft.
     pub engines: u32,
 }
 
@@ -66,13 +65,14 @@
             resumes: true,
             longest_first: true,
             leaves_silent: true,
-            engines: ENGINES,
+            engines: MAX_ENGINES_PER_DRAFT,
         }
     }
 }
 
 impl Rules {
-    /// Every sample in its order, and from the start again if it broke off.
+    /// All measures off: samples start in their given order, and an interrupted draft starts
+    /// again from nothing.
     pub const PLAIN: Self = Self {
         resumes: false,
         longest_first: false,
@@ -80,82 +80,83 @@
         engines: 1,
     };
 
-    /// Moves that a step of this many samples may make.
+    /// Maximum number of moves away from silent entries in a step of this many samples.
     #[must_use]
     pub const fn moves(&self, samples: usize) -> usize {
         if !self.leaves_silent {
             return 0;
         }
-        let share = samples * MOVES_PERCENT / 100;
-        if share > MOVES_LEAST {
-            share
-        } else {
-            MOVES_LEAST
-        }
+        let share = samples * MAX_MOVES_PERCENT / 100;
+        if share > MIN_MOVES { share } else { MIN_MOVES }
     }
 }
 
-/// A draft that was last heard of then is taken away, if a move is left.
+/// Whether an entry that last reported at `last_heard` is considered dead, so that its draft is
+/// moved if the step has a move left.
 #[must_use]
 pub fn is_silent(last_heard: Instant, now: Instant) -> bool {
     now.saturating_duration_since(last_heard) >= ENTRY_SILENT
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct PromptLength {
+    /// Hash of the prompt.
     prompt: u64,
+    /// Mean length of its answers.
     tokens: f64,
-    learnt: u64,
+    /// Value of [`Lengths::recorded`] at its newest answer.
+    recorded: u64,
 }
 
-/// Lengths of answers, learnt by prompt.
+/// Estimates the length of answers by prompt.
 #[derive(Debug, Default)]
 pub struct Lengths {
     /// Sorted by prompt.
-    known: Vec<Known>,
-    learnt: u64,
+    by_prompt: Vec<PromptLength>,
+    /// Number of answers recorded so far.
+    recorded: u64,
     mean_tokens: f64,
 }
 
 impl Lengths {
-    /// An answer to this prompt had this many tokens.
+    /// Records that an answer to the prompt with this hash had this many tokens.
     pub fn learn(&mut self, prompt: u64, tokens: u32) {
         let tokens = f64::from(tokens);
-        self.learnt += 1;
-        let learnt = self.learnt;
-        self.mean_tokens = if learnt == 1 {
+        self.recorded += 1;
+        let recorded = self.recorded;
+        self.mean_tokens = if recorded == 1 {
             tokens
         } else {
-            blend(self.mean_tokens, tokens)
+            moving_average(self.mean_tokens, tokens)
         };
         match self.position(prompt) {
             Ok(position) => {
-                let known = &mut self.known[position];
-                known.tokens = blend(known.tokens, tokens);
-                known.learnt = learnt;
+                let known = &mut self.by_prompt[position];
+                known.tokens = moving_average(known.tokens, tokens);
+                known.recorded = recorded;
             }
             Err(position) => {
-                let known = Known {
+                let known = PromptLength {
                     prompt,
                     tokens,
-                    learnt,
+                    recorded,
                 };
-                self.known.insert(position, known);
+                self.by_prompt.insert(position, known);
                 self.forget_oldest();
             }
         }
     }
 
-    /// Tokens that an answer to this prompt is expected to have; the mean of all
-    /// where the prompt is not known.
+    /// Expected number of tokens of an answer to this prompt; the mean of all answers if the
+    /// prompt is not known.
     #[must_use]
     pub fn expected_tokens(&self, prompt: u64) -> f64 {
         let known = self.position(prompt).ok();
-        known.map_or(self.mean_tokens, |position| self.known[position].tokens)
+        known.map_or(self.mean_tokens, |position| self.by_prompt[position].tokens)
     }
 
-    /// Positions of these prompts, the longest expected answer first; equals keep
-    /// their order.
+    /// Indices into `prompts`, the longest expected answer first; prompts with equal expectations
+    /// keep their order.
     #[must_use]
     pub fn longest_first(&self, prompts: &[u64]) -> Vec<usize> {
         let mut order: Vec<usize> = (0..prompts.len()).collect();
@@ -167,18 +168,18 @@
     }
 
     fn position(&self, prompt: u64) -> Result<usize, usize> {
-        self.known
+        self.by_prompt
             .binary_search_by_key(&prompt, |known| known.prompt)
     }
 
     fn forget_oldest(&mut self) {
-        if self.known.len() > PROMPTS_KNOWN {
-            let floor = self.learnt - (PROMPTS_KNOWN / 2) as u64;
-            self.known.retain(|known| known.learnt > floor);
+        if self.by_prompt.len() > MAX_PROMPTS {
+            let floor = self.recorded - (MAX_PROMPTS / 2) as u64;
+            self.by_prompt.retain(|known| known.recorded > floor);
         }
     }
 }
 
-fn blend(old: f64, newest: f64) -> f64 {
-    old + NEWEST_WEIGHT * (newest - old)
+fn moving_average(mean: f64, newest: f64) -> f64 {
+    mean + NEWEST_WEIGHT * (newest - mean)
 }
