--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -1,4 +1,4 @@
-//! What one decision on samples and loads costs at pools of three sizes.
+//! Cost of one decision on samples and on weight loads, at three pool sizes.
 //!
 //!     cargo bench -p firweir-policy --bench placement
 
@@ -22,7 +22,7 @@
 use firweir_policy::waves::next_loads;
 use firweir_policy::work::UpstreamKey;
 
-/// Engines of today, ten times as many, and those that the design is for.
+/// Engines of the present fleet, ten times as many, and the number that the design targets.
 const POOLS: [u32; 3] = [62, 620, 4_800];
 
 const MODEL: ModelKey = ModelKey(0);
@@ -37,7 +37,7 @@
     }
 }
 
-fn draft(key: u64) -> Draft {
+fn new_sample(key: u64) -> Draft {
     Draft {
         key: DraftKey(key),
         group: key / 16,
@@ -49,12 +49,12 @@
     }
 }
 
-/// A pool in which a step runs and each engine's speed is known.
-fn busy(engines: u32, now: Instant) -> Placement {
+/// A pool that runs a step, with the speed of its engines known.
+fn busy_pool(engines: u32, now: Instant) -> Placement {
     let mut placement = Placement::default();
     placement.set_engines((0..engines).map(engine).collect());
     for key in 0..160 {
-        placement.offer(draft(key));
+        placement.offer(new_sample(key));
     }
     while placement.next(now).is_some() {}
     for event in 1..4 {
@@ -69,7 +69,7 @@
     let mut group = criterion.benchmark_group("an event");
     for engines in POOLS {
         let now = Instant::now();
-        let mut placement = busy(engines, now);
+        let mut placement = busy_pool(engines, now);
         let mut at = now + Duration::from_millis(160);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
@@ -85,12 +85,12 @@
     let mut group = criterion.benchmark_group("a start and its end");
     for engines in POOLS {
         let now = Instant::now();
-        let mut placement = busy(engines, now);
+        let mut placement = busy_pool(engines, now);
         let mut key = 1_000;
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 key += 1;
-                placement.offer(draft(key));
+                placement.offer(new_sample(key));
                 black_box(placement.next(now));
                 placement.finish(now, DraftKey(key), DraftEnding::Done);
             });
@@ -99,19 +99,20 @@
     group.finish();
 }
 
-/// All samples of a step start at once, and end.
+/// All samples of a step start at the same time, and end.
 fn steps(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("a step of 224 samples starts and ends");
     for engines in POOLS {
         let mut now = Instant::now();
-        let mut placement = busy(engines, now);
+        let mut placement = busy_pool(engines, now);
         let mut key = 1_000;
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 now += Duration::from_micros(10);
                 let step = key..key + 224;
                 key += 224;
-                step.clone().for_each(|key| placement.offer(draft(key)));
+                step.clone()
+                    .for_each(|key| placement.offer(new_sample(key)));
                 while placement.next(now).is_some() {}
                 step.for_each(|key| placement.finish(now, DraftKey(key), DraftEnding::Done));
                 placement.cancel(|_| true);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of samples: what trainers get under each kind of load.
+//! Placement of samples: start order, moves and paused engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,7 +23,7 @@
     }
 }
 
-fn draft(key: u64, tokens: u32, min_version: u64, rank: u64) -> Draft {
+fn new_sample(key: u64, tokens: u32, min_version: u64, rank: u64) -> Draft {
     Draft {
         key: DraftKey(key),
         group: key,
@@ -37,8 +37,8 @@
 
 fn started(placement: &mut Placement, now: Instant) -> Vec<(u64, u32)> {
     let mut started = Vec::new();
-    while let Some((draft, engine)) = placement.next(now) {
-        started.push((draft.0, engine.0));
+    while let Some((sample, engine)) = placement.next(now) {
+        started.push((sample.0, engine.0));
     }
     started
 }
@@ -46,217 +46,238 @@
 struct Case {
     name: &'static str,
     engines: Vec<EngineState>,
-    drafts: Vec<Draft>,
-    /// Drafts that start, in order.
-    start: &'static [u64],
+    samples: Vec<Draft>,
+    /// Keys of the samples that start, in order.
+    expected: &'static [u64],
 }
 
 #[test]
-fn what_starts() {
+fn samples_start_by_rank_where_memory_and_weights_suffice() {
     let cases = [
         Case {
-            name: "saturation: as many as there are slots, the lowest rank first",
+            name: "all slots busy: the lowest ranks start",
             engines: vec![engine(0, 2, 9_000, 1), engine(1, 1, 9_000, 1)],
-            drafts: (0..5).map(|key| draft(key, 10, 1, 10 - key)).collect(),
-            start: &[4, 3, 2],
+            samples: (0..5).map(|key| new_sample(key, 10, 1, 10 - key)).collect(),
+            expected: &[4, 3, 2],
         },
         Case {
             name: "memory: a sample that does not fit does not block a smaller one",
             engines: vec![engine(0, 4, 1_000, 1)],
-            drafts: vec![
-                draft(0, 800, 1, 0),
-                draft(1, 800, 1, 1),
-                draft(2, 100, 1, 2),
+            samples: vec![
+                new_sample(0, 800, 1, 0),
+                new_sample(1, 800, 1, 1),
+                new_sample(2, 100, 1, 2),
             ],
-            start: &[0, 2],
+            expected: &[0, 2],
         },
         Case {
-            name: "a sample larger than any memory is let in alone",
+            name: "a sample larger than any memory is admitted alone",
             engines: vec![engine(0, 4, 1_000, 1)],
-            drafts: vec![draft(0, 5_000, 1, 0), draft(1, 10, 1, 1)],
-            start: &[0],
+            samples: vec![new_sample(0, 5_000, 1, 0), new_sample(1, 10, 1, 1)],
+            expected: &[0],
         },
         Case {
-            name: "weights: a sample waits for those that are fresh enough",
+            name: "weights: a sample waits for an engine with its minimum version",
             engines: vec![engine(0, 4, 9_000, 1), engine(1, 1, 9_000, 2)],
-            drafts: vec![draft(0, 10, 2, 0), draft(1, 10, 2, 1), draft(2, 10, 1, 2)],
-            start: &[0, 2],
+            samples: vec![
+                new_sample(0, 10, 2, 0),
+                new_sample(1, 10, 2, 1),
+                new_sample(2, 10, 1, 2),
+            ],
+            expected: &[0, 2],
         },
     ];
     for case in cases {
         let mut placement = Placement::default();
         placement.set_engines(case.engines);
-        case.drafts
+        case.samples
             .into_iter()
-            .for_each(|draft| placement.offer(draft));
+            .for_each(|sample| placement.offer(sample));
         let started = started(&mut placement, Instant::now());
         let keys: Vec<u64> = started.iter().map(|(key, _)| *key).collect();
-        assert_eq!(keys, case.start, "{}", case.name);
+        assert_eq!(keys, case.expected, "{}", case.name);
     }
 }
 
-/// Makes events of these drafts for a while, each with its own pause.
-fn events(placement: &mut Placement, from: Instant, pauses_ms: &[(u64, u64)], until_ms: u64) {
+/// Records events of samples for a while, each sample with its own gap in milliseconds.
+fn record_events(placement: &mut Placement, from: Instant, gaps_ms: &[(u64, u64)], until_ms: u64) {
     for at_ms in 0..until_ms {
-        for (key, pause_ms) in pauses_ms {
-            if at_ms % pause_ms == 0 {
+        for (key, gap_ms) in gaps_ms {
+            if at_ms % gap_ms == 0 {
                 placement.note_event(from + Duration::from_millis(at_ms), DraftKey(*key));
             }
         }
     }
 }
 
-/// A step waited seconds for its last samples, which ran on an engine three times
-/// slower than the others while these had nothing to do.
+/// Guards against a step that waits seconds for its last samples: they ran on an engine three times
+/// slower than the others, which were idle.
 #[test]
 fn a_long_sample_leaves_a_slow_engine_once_another_has_room() {
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..3).map(|key| engine(key, 1, 9_000, 1)).collect());
-    (0..3).for_each(|key| placement.offer(draft(key, 10, 1, key)));
+    (0..3).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 3);
-    events(&mut placement, now, &[(0, 40), (1, 40), (2, 120)], 1_000);
+    record_events(&mut placement, now, &[(0, 40), (1, 40), (2, 120)], 1_000);
     let later = now + Duration::from_secs(1);
-    assert_eq!(placement.moves(later), [], "no engine has room");
+    assert_eq!(placement.moves(later), [], "no engine has a free slot");
     placement.finish(later, DraftKey(0), DraftEnding::Done);
     assert_eq!(placement.moves(later), [DraftKey(2)]);
-    assert_eq!(placement.moves(later), [], "it is told once");
-    placement.offer(draft(9, 10, 1, 9));
-    assert_eq!(placement.moves(later), [], "room goes to samples that wait");
+    assert_eq!(placement.moves(later), [], "returned once");
+    placement.offer(new_sample(9, 10, 1, 9));
+    assert_eq!(
+        placement.moves(later),
+        [],
+        "waiting samples get free slots first"
+    );
 }
 
-/// Estimates that differ by a quarter by chance sent samples back and forth: 6,291
-/// moves in a day, each with a new connection and a prompt read again.
+/// Guards against moving samples back and forth between engines whose estimates differ by a quarter
+/// by chance. This caused 6,291 moves in a day, each with a new connection and the prompt processed
+/// again.
 #[test]
-fn a_sample_stays_where_another_engine_is_a_little_faster() {
+fn a_sample_stays_if_another_engine_is_only_slightly_faster() {
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..2).map(|key| engine(key, 2, 9_000, 1)).collect());
-    (0..2).for_each(|key| placement.offer(draft(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
     started(&mut placement, now);
-    events(&mut placement, now, &[(0, 40), (1, 50)], 3_000);
+    record_events(&mut placement, now, &[(0, 40), (1, 50)], 3_000);
     assert_eq!(placement.moves(now + Duration::from_secs(3)), []);
 }
 
-/// Samples stayed for seconds on an engine that had gone dark.
+/// Guards against samples that stay for seconds on an engine that stopped sending events.
 #[test]
 fn a_sample_leaves_an_engine_that_is_silent() {
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..2).map(|key| engine(key, 4, 9_000, 1)).collect());
-    placement.offer(draft(0, 10, 1, 0));
-    let (_, dark) = placement.next(now).expect("there is room");
-    events(&mut placement, now, &[(0, 40)], 400);
+    placement.offer(new_sample(0, 10, 1, 0));
+    let (_, silent_engine) = placement.next(now).expect("an engine has a free slot");
+    record_events(&mut placement, now, &[(0, 40)], 400);
     let soon = now + Duration::from_millis(500);
-    assert_eq!(placement.moves(soon), [], "a pause is no silence");
+    assert_eq!(placement.moves(soon), [], "a short gap is not silence");
     let later = now + Duration::from_secs(1);
     assert_eq!(placement.moves(later), [DraftKey(0)]);
     placement.finish(later, DraftKey(0), DraftEnding::Cancelled);
-    placement.offer(draft(0, 10, 1, 0));
-    let (_, other) = placement.next(later).expect("there is room");
-    assert_ne!(other, dark, "the dark one is left alone");
+    placement.offer(new_sample(0, 10, 1, 0));
+    let (_, other) = placement.next(later).expect("an engine has a free slot");
+    assert_ne!(other, silent_engine, "the silent engine is paused");
 }
 
-/// An engine that was changing its weights was asked by every waiting sample in turn.
+/// Guards against every waiting sample trying, in turn, an engine that is loading weights.
 #[test]
-fn an_engine_that_refuses_is_left_alone_for_a_while() {
+fn an_engine_that_refuses_is_paused() {
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines(vec![engine(0, 4, 9_000, 1)]);
-    (0..2).for_each(|key| placement.offer(draft(key, 10, 1, key)));
-    let (first, _) = placement.next(now).expect("there is room");
+    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    let (first, _) = placement.next(now).expect("an engine has a free slot");
     placement.finish(now, first, DraftEnding::Refused);
     assert_eq!(placement.next(now), None);
-    let look = placement.next_look(now).expect("a time to look again");
-    assert!(placement.next(look).is_some());
+    let retry_at = placement.next_look(now).expect("a paused engine");
+    assert!(placement.next(retry_at).is_some());
 }
 
-/// On engines that make an event each three seconds no sample ever got its second one:
-/// each was taken for silent after 0.3 s, moved to the next engine, and moved on there.
+/// Guards against moving samples endlessly on slow engines. With one event every three seconds, a
+/// sample counted as silent after 0.3 s, moved to the next engine, and never got its second event.
 #[test]
 fn samples_of_a_slow_fleet_are_left_where_they_are() {
     let now = Instant::now();
     let after = |ms: u64| now + Duration::from_millis(ms);
     let mut placement = Placement::default();
     placement.set_engines((0..3).map(|key| engine(key, 2, 9_000, 1)).collect());
-    (0..2).for_each(|key| placement.offer(draft(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 2);
-    let first_patience = placement.event_patience(0);
-    assert!(placement.event_patience(2) > first_patience, "it grows");
+    let first_timeout = placement.event_patience(0);
+    assert!(
+        placement.event_patience(2) > first_timeout,
+        "grows with each silent engine"
+    );
     (0..2).for_each(|key| placement.note_event(after(100), DraftKey(key)));
-    assert_eq!(placement.moves(after(2_900)), [], "nothing is known yet");
+    assert_eq!(
+        placement.moves(after(2_900)),
+        [],
+        "the event time is not known yet"
+    );
     for at_ms in [3_100, 6_100, 9_100] {
         (0..2).for_each(|key| placement.note_event(after(at_ms), DraftKey(key)));
     }
     assert!(placement.event_patience(0) > Duration::from_secs(60));
     placement.note_event(after(12_100), DraftKey(0));
-    assert_eq!(placement.moves(after(14_000)), [], "a usual pause");
+    assert_eq!(placement.moves(after(14_000)), [], "a normal gap");
     for at_ms in (15_100..=30_100).step_by(3_000) {
         placement.note_event(after(at_ms), DraftKey(0));
     }
     assert_eq!(
         placement.moves(after(30_100)),
         [DraftKey(1)],
-        "seven pauses"
+        "seven normal gaps"
     );
 }
 
-/// Engines of three speeds, with different weights and fills, that all samples below meet.
+/// Engines with different slots, weights and free memory, and samples of three speeds that run or
+/// wait.
 fn mixed_pool(now: Instant) -> Placement {
     let mut placement = Placement::default();
     let engines = (0..40).map(|key| engine(key, 1 + key % 4, 900, u64::from(key % 3)));
     placement.set_engines(engines.collect());
     for key in 0..30 {
-        placement.offer(draft(key, 100, u64::from(key as u32 % 2), key));
+        placement.offer(new_sample(key, 100, u64::from(key as u32 % 2), key));
         // Some find no engine with their weights, and wait.
         let _placed = placement.next(now);
     }
     for event in 1..4 {
         for key in 0..30 {
-            let pause = Duration::from_millis(event * (30 + key % 3 * 20));
-            placement.note_event(now + pause, DraftKey(key));
+            let event_at = Duration::from_millis(event * (30 + key % 3 * 20));
+            placement.note_event(now + event_at, DraftKey(key));
         }
     }
     placement
 }
 
-/// Guards against another placement of samples that come together than of each alone.
+/// Guards against a ranking for many waiting samples that places them differently than one by one.
 #[test]
-fn samples_that_come_together_go_where_each_would_alone() {
+fn ranking_places_samples_as_one_by_one() {
     let now = Instant::now();
     let later = now + Duration::from_millis(300);
-    let sample = |key: u64| Draft {
+    let grouped_sample = |key: u64| Draft {
         group: key % 7,
-        ..draft(key, 40 + key as u32 % 5 * 90, key % 3, key)
+        ..new_sample(key, 40 + key as u32 % 5 * 90, key % 3, key)
     };
     let mut together = mixed_pool(now);
-    (100..160).for_each(|key| together.offer(sample(key)));
+    (100..160).for_each(|key| together.offer(grouped_sample(key)));
     let mut alone = mixed_pool(now);
     let mut expected = Vec::new();
     for key in 100..160 {
-        alone.offer(sample(key));
+        alone.offer(grouped_sample(key));
         match alone.next(later) {
-            Some((draft, engine)) => expected.push((draft.0, engine.0)),
-            None => alone.cancel(|held| held == DraftKey(key)),
+            Some((sample, engine)) => expected.push((sample.0, engine.0)),
+            None => alone.cancel(|waiting| waiting == DraftKey(key)),
         }
     }
     assert!(expected.len() >= 20, "{expected:?}");
     assert_eq!(started(&mut together, later), expected);
 }
 
-/// Guards against a sample that stays on an engine until the platform reclaims it, and is lost.
+/// Guards against losing a sample that stays on an engine until the platform reclaims it.
 #[test]
-fn samples_leave_an_engine_that_goes_as_far_as_others_have_room() {
+fn samples_leave_a_reclaimed_engine_as_far_as_others_have_room() {
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines(vec![engine(0, 2, 9_000, 1)]);
-    (0..2).for_each(|key| placement.offer(draft(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 2);
     placement.set_engines(vec![engine(1, 1, 9_000, 1)]);
     let leaving = [UpstreamKey(0)];
     assert_eq!(placement.moves_from(now, &leaving), [DraftKey(0)]);
     placement.finish(now, DraftKey(0), DraftEnding::Cancelled);
-    placement.offer(draft(0, 10, 1, 0));
+    placement.offer(new_sample(0, 10, 1, 0));
     assert_eq!(started(&mut placement, now), [(0, 1)]);
-    assert_eq!(placement.moves_from(now, &leaving), [], "no room is left");
+    assert_eq!(
+        placement.moves_from(now, &leaving),
+        [],
+        "no free slot is left"
+    );
 }
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders of upstreams against a simulated platform of three zones.
+//! Scaling orders against a simulated platform with three availability zones.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,9 +13,9 @@
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling::orders;
 
-const BOOT: Duration = Duration::from_secs(4);
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+const BOOT_TIME: Duration = Duration::from_secs(4);
+const TICK: Duration = Duration::from_millis(250);
+const RETRY_REFUSED_AFTER: Duration = Duration::from_secs(5);
 const BOUNDS: Bounds = Bounds {
     least: 4,
     most: 30,
@@ -24,26 +24,26 @@
 };
 
 /// An upstream of the simulated platform.
-struct Machine {
+struct SimulatedUpstream {
     zone: usize,
     supply: Supply,
     serves_from: Instant,
 }
 
-struct World {
+struct Simulation {
     now: Instant,
-    machines: Vec<Machine>,
+    upstreams: Vec<SimulatedUpstream>,
     prices: [f64; 3],
     /// Zones and kinds for which the platform refuses to add upstreams (409).
-    none_left: Vec<(usize, Supply)>,
+    exhausted: Vec<(usize, Supply)>,
     ordered: [[Option<Ordered>; 2]; 3],
     refused: [[Option<Instant>; 2]; 3],
     demand: Option<Demand>,
-    sent: Vec<(Duration, Order)>,
+    sent_orders: Vec<(Duration, Order)>,
     started: Instant,
 }
 
-const fn at(supply: Supply) -> usize {
+const fn index_of(supply: Supply) -> usize {
     supply as usize
 }
 
@@ -55,42 +55,45 @@
     }
 }
 
-impl World {
-    /// Starts with `each` on-demand upstreams per zone that no node has ordered.
-    fn new(each: usize, prices: [f64; 3]) -> Self {
+impl Simulation {
+    /// Starts with `per_zone` on-demand upstreams per zone that no node has ordered.
+    fn new(per_zone: usize, prices: [f64; 3]) -> Self {
         let now = Instant::now();
-        let machine = |number: usize| Machine {
+        let new_upstream = |number: usize| SimulatedUpstream {
             zone: number % 3,
             supply: Supply::OnDemand,
             serves_from: now,
         };
         Self {
             now,
-            machines: (0..each * 3).map(machine).collect(),
+            upstreams: (0..per_zone * 3).map(new_upstream).collect(),
             prices,
-            none_left: Vec::new(),
+            exhausted: Vec::new(),
             ordered: [[None; 2]; 3],
             refused: [[None; 2]; 3],
             demand: None,
-            sent: Vec::new(),
+            sent_orders: Vec::new(),
             started: now,
         }
     }
 
     fn count(&self, zone: usize, supply: Supply) -> u32 {
-        let found = self.machines.iter().filter(|held| {
-            held.zone == zone && held.supply == supply && held.serves_from <= self.now
+        let found = self.upstreams.iter().filter(|upstream| {
+            upstream.zone == zone && upstream.supply == supply && upstream.serves_from <= self.now
         });
         found.count() as u32
     }
 
     fn in_zone(&self, zone: usize) -> u32 {
-        let held = self.machines.iter().filter(|held| held.zone == zone);
-        held.count() as u32
+        let found = self
+            .upstreams
+            .iter()
+            .filter(|upstream| upstream.zone == zone);
+        found.count() as u32
     }
 
     fn total(&self) -> u32 {
-        self.machines.len() as u32
+        self.upstreams.len() as u32
     }
 
     fn serving(&self) -> u32 {
@@ -103,14 +106,14 @@
         let mut present = Counts::default();
         for supply in SUPPLIES {
             let found = self.count(zone, supply);
-            let ordered = self.ordered[zone][at(supply)];
+            let ordered = self.ordered[zone][index_of(supply)];
             *listed.of_mut(supply) = found;
             *present.of_mut(supply) =
-                ordered.map_or(found, |held| held.present(found, self.now, BOOT));
+                ordered.map_or(found, |order| order.present(found, self.now, BOOT_TIME));
         }
         let is_refused = |supply| {
-            let refused = self.refused[zone][at(supply)];
-            refused.is_some_and(|at| self.now - at < ASK_AGAIN)
+            let refused = self.refused[zone][index_of(supply)];
+            refused.is_some_and(|refused_at| self.now - refused_at < RETRY_REFUSED_AFTER)
         };
         let mut ordered = self.ordered[zone].iter().flatten();
         Zone {
@@ -119,20 +122,20 @@
             present,
             no_on_demand: is_refused(Supply::OnDemand),
             no_spot: is_refused(Supply::Spot),
-            is_settling: ordered.any(|held| held.is_settling(self.now, BOOT)),
+            is_settling: ordered.any(|order| order.is_settling(self.now, BOOT_TIME)),
             running: 0,
         }
     }
 
     /// Simulates the platform's response to an order.
-    fn carry_out(&mut self, order: &Order) {
+    fn apply_order(&mut self, order: &Order) {
         let (zone, supply) = (order.zone, order.supply);
         let grows = order.count > order.before;
-        if grows && self.none_left.contains(&(zone, supply)) {
-            self.refused[zone][at(supply)] = Some(self.now);
+        if grows && self.exhausted.contains(&(zone, supply)) {
+            self.refused[zone][index_of(supply)] = Some(self.now);
             return;
         }
-        self.ordered[zone][at(supply)] = Some(Ordered {
+        self.ordered[zone][index_of(supply)] = Some(Ordered {
             count: order.count,
             listed: self.count(zone, supply),
             at: self.now,
@@ -141,41 +144,49 @@
     }
 
     fn set(&mut self, zone: usize, supply: Supply, count: u32) {
-        let is_of = |held: &Machine| held.zone == zone && held.supply == supply;
-        let held = self.machines.iter().filter(|held| is_of(held)).count() as u32;
-        for _ in held..count {
-            self.machines.push(Machine {
+        let is_of =
+            |upstream: &SimulatedUpstream| upstream.zone == zone && upstream.supply == supply;
+        let present = self
+            .upstreams
+            .iter()
+            .filter(|upstream| is_of(upstream))
+            .count() as u32;
+        for _ in present..count {
+            self.upstreams.push(SimulatedUpstream {
                 zone,
                 supply,
-                serves_from: self.now + BOOT,
+                serves_from: self.now + BOOT_TIME,
             });
         }
-        for _ in count..held {
-            let last = self.machines.iter().rposition(is_of);
-            self.machines.remove(last.expect("counted"));
+        for _ in count..present {
+            let last = self.upstreams.iter().rposition(is_of);
+            self.upstreams.remove(last.expect("counted"));
         }
     }
 
-    fn look(&mut self) {
-        self.now += LOOK_EVERY;
+    fn tick(&mut self) {
+        self.now += TICK;
         let zones = [self.zone(0), self.zone(1), self.zone(2)];
         for order in orders(&zones, &BOUNDS, self.demand) {
-            self.sent.push((self.now - self.started, order));
-            self.carry_out(&order);
-            let held = self.in_zone(order.zone);
+            self.sent_orders.push((self.now - self.started, order));
+            self.apply_order(&order);
+            let in_zone = self.in_zone(order.zone);
             let shrinks = order.count < order.before;
-            assert!(!shrinks || held >= BOUNDS.least, "{held} after {order:?}");
+            assert!(
+                !shrinks || in_zone >= BOUNDS.least,
+                "{in_zone} after {order:?}"
+            );
         }
         for zone in 0..3 {
-            let held = self.in_zone(zone);
-            assert!(held <= BOUNDS.most, "{held} in zone {zone}");
+            let in_zone = self.in_zone(zone);
+            assert!(in_zone <= BOUNDS.most, "{in_zone} in zone {zone}");
         }
     }
 
     fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            self.look();
+            self.tick();
         }
     }
 
@@ -187,131 +198,169 @@
 
     fn reclaim(&mut self, zone: usize) -> u32 {
         let before = self.total();
-        self.machines
-            .retain(|held| held.zone != zone || held.supply != Supply::Spot);
+        self.upstreams
+            .retain(|upstream| upstream.zone != zone || upstream.supply != Supply::Spot);
         before - self.total()
     }
 }
 
 /// Whether no zone has more than half of all serving upstreams.
-fn has_half_at_most(world: &World) -> bool {
+fn no_zone_exceeds_half(simulation: &Simulation) -> bool {
     let in_zone = |zone| {
         SUPPLIES
-            .map(|supply| world.count(zone, supply))
+            .map(|supply| simulation.count(zone, supply))
             .iter()
             .sum()
     };
     let largest: u32 = (0..3).map(in_zone).max().unwrap_or_default();
-    largest <= world.serving().div_ceil(2)
+    largest <= simulation.serving().div_ceil(2)
 }
 
-/// Guards against a new holder of the scaling duty that does not know the demand yet and
-/// removes upstreams in use.
+/// Guards against a new holder of the scaling duty that does not know the demand yet and removes
+/// upstreams in use.
 #[test]
 fn without_a_known_demand_nothing_is_ordered() {
-    let mut world = World::new(16, [1.0, 1.1, 1.3]);
-    world.run(Duration::from_secs(30));
-    assert!(world.sent.is_empty(), "{:?}", world.sent);
-    world.demand = Some(Demand {
+    let mut simulation = Simulation::new(16, [1.0, 1.1, 1.3]);
+    simulation.run(Duration::from_secs(30));
+    assert!(
+        simulation.sent_orders.is_empty(),
+        "{:?}",
+        simulation.sent_orders
+    );
+    simulation.demand = Some(Demand {
         samples: 80,
         largest_step: 80,
         is_whole: false,
     });
-    world.run(Duration::from_secs(30));
-    assert!(world.sent.is_empty(), "{:?}", world.sent);
+    simulation.run(Duration::from_secs(30));
+    assert!(
+        simulation.sent_orders.is_empty(),
+        "{:?}",
+        simulation.sent_orders
+    );
 }
 
 /// Guards against a service without upstreams that gets none because its demand is not known.
 #[test]
 fn zones_are_filled_to_their_minimum_without_a_known_demand() {
-    let mut world = World::new(0, [1.0, 1.1, 1.3]);
-    world.none_left = vec![(1, Supply::Spot)];
-    world.run(BOOT * 2);
-    let held = [0, 1, 2].map(|zone| world.in_zone(zone));
-    assert_eq!(held, [BOUNDS.least; 3], "{:?}", world.sent);
-    let sent = world.sent.len();
-    world.run(Duration::from_secs(60));
-    assert_eq!(world.sent.len(), sent, "flapping: {:?}", world.sent);
+    let mut simulation = Simulation::new(0, [1.0, 1.1, 1.3]);
+    simulation.exhausted = vec![(1, Supply::Spot)];
+    simulation.run(BOOT_TIME * 2);
+    let counts = [0, 1, 2].map(|zone| simulation.in_zone(zone));
+    assert_eq!(counts, [BOUNDS.least; 3], "{:?}", simulation.sent_orders);
+    let sent_before = simulation.sent_orders.len();
+    simulation.run(Duration::from_secs(60));
+    assert_eq!(
+        simulation.sent_orders.len(),
+        sent_before,
+        "flapping: {:?}",
+        simulation.sent_orders
+    );
 }
 
 /// Guards against growth that waits for a reduction to end, and against a reduction that
 /// follows halved demand at once, so that the next step finds too few upstreams.
 #[test]
 fn demand_that_doubles_is_met_after_a_boot_and_halves_slowly() {
-    let mut world = World::new(8, [1.0, 1.1, 1.3]);
-    world.demand = Some(demand(100, 190));
-    world.run(Duration::from_secs(60));
-    assert!(world.covered() >= 24, "{}", world.covered());
-    world.demand = Some(demand(200, 380));
-    world.run(BOOT + LOOK_EVERY * 2);
-    assert!(world.covered() >= 48, "{}", world.covered());
-    assert!(has_half_at_most(&world), "one zone carries most");
-    world.run(Duration::from_secs(60));
-    let before = world.total();
-    world.demand = Some(demand(100, 190));
-    world.run(BOOT);
-    assert!(world.total() + 3 >= before, "{} of {before}", world.total());
-    world.run(Duration::from_secs(120));
-    assert!(world.covered() >= 24, "{}", world.covered());
-    assert!(world.total() < before - 10, "{} of {before}", world.total());
-    let sent = world.sent.len();
-    world.run(Duration::from_secs(60));
-    assert_eq!(world.sent.len(), sent, "flapping: {:?}", world.sent);
+    let mut simulation = Simulation::new(8, [1.0, 1.1, 1.3]);
+    simulation.demand = Some(demand(100, 190));
+    simulation.run(Duration::from_secs(60));
+    assert!(simulation.covered() >= 24, "{}", simulation.covered());
+    simulation.demand = Some(demand(200, 380));
+    simulation.run(BOOT_TIME + TICK * 2);
+    assert!(simulation.covered() >= 48, "{}", simulation.covered());
+    assert!(
+        no_zone_exceeds_half(&simulation),
+        "a zone has more than half"
+    );
+    simulation.run(Duration::from_secs(60));
+    let before = simulation.total();
+    simulation.demand = Some(demand(100, 190));
+    simulation.run(BOOT_TIME);
+    assert!(
+        simulation.total() + 3 >= before,
+        "{} of {before}",
+        simulation.total()
+    );
+    simulation.run(Duration::from_secs(120));
+    assert!(simulation.covered() >= 24, "{}", simulation.covered());
+    assert!(
+        simulation.total() < before - 10,
+        "{} of {before}",
+        simulation.total()
+    );
+    let sent_before = simulation.sent_orders.len();
+    simulation.run(Duration::from_secs(60));
+    assert_eq!(
+        simulation.sent_orders.len(),
+        sent_before,
+        "flapping: {:?}",
+        simulation.sent_orders
+    );
 }
 
 /// Guards against too few upstreams, or a late replacement, when a zone loses all its spot
 /// upstreams at once.
 #[test]
 fn a_reclaimed_zone_leaves_enough_and_is_replaced_after_a_boot() {
-    let mut world = World::new(8, [1.0, 1.1, 1.3]);
-    world.demand = Some(demand(200, 380));
-    world.run(Duration::from_secs(90));
-    let lost = world.reclaim(0);
+    let mut simulation = Simulation::new(8, [1.0, 1.1, 1.3]);
+    simulation.demand = Some(demand(200, 380));
+    simulation.run(Duration::from_secs(90));
+    let lost = simulation.reclaim(0);
     assert!(lost > 0, "the cheapest zone has spot upstreams");
-    assert!(world.serving() >= 48, "{} are left", world.serving());
-    world.run(BOOT + LOOK_EVERY * 2);
-    assert!(world.covered() >= 48, "{}", world.covered());
+    assert!(
+        simulation.serving() >= 48,
+        "{} are left",
+        simulation.serving()
+    );
+    simulation.run(BOOT_TIME + TICK * 2);
+    assert!(simulation.covered() >= 48, "{}", simulation.covered());
 }
 
 /// Guards against repeated orders in a zone that has no spot upstreams left, while other
 /// zones get no order.
 #[test]
-fn what_a_zone_has_not_comes_from_another() {
-    let mut world = World::new(8, [1.0, 1.1, 1.3]);
-    world.none_left = vec![(0, Supply::Spot)];
-    world.demand = Some(demand(200, 380));
-    world.run(BOOT + LOOK_EVERY * 3);
-    assert!(world.covered() >= 48, "{:?}", world.sent);
-    let asked = world.sent.iter().filter(|(_, order)| {
+fn upstreams_refused_in_one_zone_come_from_another() {
+    let mut simulation = Simulation::new(8, [1.0, 1.1, 1.3]);
+    simulation.exhausted = vec![(0, Supply::Spot)];
+    simulation.demand = Some(demand(200, 380));
+    simulation.run(BOOT_TIME + TICK * 3);
+    assert!(simulation.covered() >= 48, "{:?}", simulation.sent_orders);
+    let asked = simulation.sent_orders.iter().filter(|(_, order)| {
         order.zone == 0 && order.supply == Supply::Spot && order.count > order.before
     });
-    assert!(asked.count() <= 2, "{:?}", world.sent);
+    assert!(asked.count() <= 2, "{:?}", simulation.sent_orders);
 }
 
 /// Guards against replacing upstreams for a small price change, and against a gap in service
 /// while a large one is followed.
 #[test]
 fn prices_move_upstreams_only_by_a_clear_margin() {
-    let mut world = World::new(8, [1.0, 1.2, 1.4]);
-    world.demand = Some(demand(200, 380));
-    world.run(Duration::from_secs(120));
-    let sent = world.sent.len();
-    world.prices = [1.05, 1.15, 1.4];
-    world.run(Duration::from_secs(60));
-    assert_eq!(world.sent.len(), sent, "small: {:?}", world.sent);
-    world.prices = [2.0, 1.2, 1.0];
-    let until = world.now + Duration::from_secs(240);
-    while world.now < until {
-        world.look();
-        assert!(world.serving() >= 48, "{}", world.serving());
+    let mut simulation = Simulation::new(8, [1.0, 1.2, 1.4]);
+    simulation.demand = Some(demand(200, 380));
+    simulation.run(Duration::from_secs(120));
+    let sent_before = simulation.sent_orders.len();
+    simulation.prices = [1.05, 1.15, 1.4];
+    simulation.run(Duration::from_secs(60));
+    assert_eq!(
+        simulation.sent_orders.len(),
+        sent_before,
+        "small price change: {:?}",
+        simulation.sent_orders
+    );
+    simulation.prices = [2.0, 1.2, 1.0];
+    let until = simulation.now + Duration::from_secs(240);
+    while simulation.now < until {
+        simulation.tick();
+        assert!(simulation.serving() >= 48, "{}", simulation.serving());
     }
-    let cheapest = SUPPLIES.map(|supply| world.count(2, supply));
+    let cheapest = SUPPLIES.map(|supply| simulation.count(2, supply));
     assert!(cheapest.iter().sum::<u32>() > BOUNDS.least, "{cheapest:?}");
 }
 
 /// Guards against the removal of upstreams that run requests.
 #[test]
-fn what_is_in_use_stays() {
+fn upstreams_in_use_are_not_removed() {
     let zone = Zone {
         price: 1.0,
         listed: Counts {
@@ -343,8 +392,12 @@
         listed: 4,
         at: now,
     };
-    assert_eq!(ordered.present(4, now, BOOT), 10);
-    assert_eq!(ordered.present(10, now + BOOT, BOOT), 10);
-    assert_eq!(ordered.present(3, now, BOOT), 9, "one was lost");
-    assert_eq!(ordered.present(4, now + BOOT * 2, BOOT), 4, "none came");
+    assert_eq!(ordered.present(4, now, BOOT_TIME), 10);
+    assert_eq!(ordered.present(10, now + BOOT_TIME, BOOT_TIME), 10);
+    assert_eq!(ordered.present(3, now, BOOT_TIME), 9, "one was lost");
+    assert_eq!(
+        ordered.present(4, now + BOOT_TIME * 2, BOOT_TIME),
+        4,
+        "none booted"
+    );
 }
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -20,7 +20,7 @@
     spot: 2,
 };
 
-const fn last(supply: Supply, count: u32, is_confirmed: bool) -> LastOrder {
+const fn last_order(supply: Supply, count: u32, is_confirmed: bool) -> LastOrder {
     LastOrder {
         supply,
         count,
@@ -28,21 +28,25 @@
     }
 }
 
-fn repeated(held: &[LastOrder], listed: Counts) -> Vec<(Supply, u32)> {
-    let found = repeats(0, held, listed, &BOUNDS);
+fn repeated(last_orders: &[LastOrder], listed: Counts) -> Vec<(Supply, u32)> {
+    let found = repeats(0, last_orders, listed, &BOUNDS);
     let numbers = found
         .iter()
         .map(|order: &Order| (order.supply, order.count));
     numbers.collect()
 }
 
-/// Guards against a new holder that repeats confirmed orders whose upstreams were lost since.
+/// Guards against a new holder that repeats confirmed orders although their upstreams were lost
+/// since.
 #[test]
 fn confirmed_orders_are_not_repeated() {
-    let held = [last(Supply::OnDemand, 8, true), last(Supply::Spot, 0, true)];
-    assert_eq!(repeated(&held, LISTED), Vec::new());
-    let open = [last(Supply::OnDemand, 6, false)];
-    assert_eq!(repeated(&open, LISTED), vec![(Supply::OnDemand, 6)]);
+    let last_orders = [
+        last_order(Supply::OnDemand, 8, true),
+        last_order(Supply::Spot, 0, true),
+    ];
+    assert_eq!(repeated(&last_orders, LISTED), Vec::new());
+    let unconfirmed = [last_order(Supply::OnDemand, 6, false)];
+    assert_eq!(repeated(&unconfirmed, LISTED), vec![(Supply::OnDemand, 6)]);
 }
 
 /// Guards against repeated orders that together exceed the limits of their zone.
@@ -51,15 +55,15 @@
     for on_demand in 0..20 {
         for spot in 0..20 {
             for is_confirmed in [false, true] {
-                let held = [
-                    last(Supply::OnDemand, on_demand, is_confirmed),
-                    last(Supply::Spot, spot, false),
+                let last_orders = [
+                    last_order(Supply::OnDemand, on_demand, is_confirmed),
+                    last_order(Supply::Spot, spot, false),
                 ];
                 let mut after = LISTED;
-                for (supply, count) in repeated(&held, LISTED) {
+                for (supply, count) in repeated(&last_orders, LISTED) {
                     *after.of_mut(supply) = count;
-                    assert!(after.total() >= BOUNDS.least, "{held:?}: {after:?}");
-                    assert!(after.total() <= BOUNDS.most, "{held:?}: {after:?}");
+                    assert!(after.total() >= BOUNDS.least, "{last_orders:?}: {after:?}");
+                    assert!(after.total() <= BOUNDS.most, "{last_orders:?}: {after:?}");
                 }
             }
         }
--- a/crates/policy/tests/waves.rs
+++ b/crates/policy/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Which engines load weights, and which model they serve.
+//! Which engines load weights, which models they serve, and the order of samples in a step.
 
 use std::cmp::Reverse;
 
@@ -18,47 +18,47 @@
 
 struct Case {
     name: &'static str,
-    /// Versions of twelve engines; the trainer named version 5.
+    /// Versions of twelve engines; the trainer has announced version 5.
     versions: [u64; 12],
     loading: &'static [usize],
     unavailable: &'static [usize],
-    /// Engines that are ordered.
+    /// Engines that are expected to load, in order.
     loads: &'static [usize],
 }
 
 #[test]
-fn what_is_ordered_next() {
+fn engines_that_load_next() {
     let cases = [
         Case {
-            name: "three quarters have it: the others keep the version before it",
+            name: "three quarters have the version: the others keep the previous one",
             versions: [5, 5, 5, 5, 5, 5, 5, 5, 5, 4, 4, 4],
             loading: &[],
             unavailable: &[],
             loads: &[],
         },
         Case {
-            name: "engines of no more use go first, three at a time",
+            name: "unusable engines load first, three at a time",
             versions: [4, 4, 4, 4, 4, 4, 3, 3, 3, 3, 3, 3],
             loading: &[],
             unavailable: &[],
             loads: &[11, 10, 9],
         },
         Case {
-            name: "a load that runs counts",
+            name: "a running load counts",
             versions: [4, 4, 4, 4, 4, 4, 3, 3, 3, 3, 3, 3],
             loading: &[6],
             unavailable: &[],
             loads: &[11, 10],
         },
         Case {
-            name: "as many run as may",
+            name: "the maximum number of loads runs",
             versions: [3; 12],
             loading: &[0, 1, 2],
             unavailable: &[],
             loads: &[],
         },
         Case {
-            name: "engines that take no order are left out",
+            name: "unavailable engines are skipped",
             versions: [5, 5, 5, 5, 5, 5, 5, 5, 5, 5, 3, 3],
             loading: &[],
             unavailable: &[11],
@@ -75,13 +75,13 @@
             unavailable: case.unavailable.contains(&at),
         };
         let engines: Vec<_> = case.versions.into_iter().enumerate().map(engine).collect();
-        let loads = next_loads(&engines, loads_at_most(12), &shares(12, 1));
+        let loads = next_loads(&engines, loads_at_most(12), &equal_shares(12, 1));
         assert_eq!(loads, case.loads, "{}", case.name);
     }
 }
 
-/// Nothing is known of what the models need.
-const fn shares(engines: usize, models: usize) -> Division {
+/// A division without known needs.
+const fn equal_shares(engines: usize, models: usize) -> Division {
     Division {
         engines,
         models,
@@ -107,46 +107,49 @@
 #[test]
 fn models_share_engines_evenly_and_keep_them() {
     let all: Vec<usize> = (0..12).collect();
-    let first = assign(&shares(12, 3), &lags(&all, |_, _| 0));
+    let first = assign(&equal_shares(12, 3), &lags(&all, |_, _| 0));
     for model in 0..3 {
         let model = ModelKey(model);
-        let own = first.iter().filter(|held| held[0] == model);
+        let own = first.iter().filter(|models| models[0] == model);
         assert_eq!(own.count(), 4, "{model:?}");
-        // Two sets of three, which get the versions by turns.
-        let both = first.iter().filter(|held| held.contains(&model));
+        // Two sets of three engines, which get the versions alternately.
+        let both = first.iter().filter(|models| models.contains(&model));
         assert_eq!(both.count(), 6, "{model:?}");
     }
-    // Each engine has new weights of its models; the others fall behind.
+    // Each engine has current weights of its models and is behind on the others.
     let behind =
         |engine: usize, model: u32| u64::from(!first[engine].contains(&ModelKey(model))) * 3;
     assert_eq!(
-        assign(&shares(12, 3), &lags(&all, behind)),
+        assign(&equal_shares(12, 3), &lags(&all, behind)),
         first,
-        "nothing moves"
+        "no model moves"
     );
     // One of the sets is two versions behind until it has loaded.
-    let by_turns = |engine: usize, model: u32| behind(engine, model) + (engine as u64 % 2) * 2;
+    let with_alternating_sets =
+        |engine: usize, model: u32| behind(engine, model) + (engine as u64 % 2) * 2;
     let kept = assign(
-        &shares(12, 3),
-        &lags(&all, |engine, model| by_turns(engine, model).min(3)),
+        &equal_shares(12, 3),
+        &lags(&all, |engine, model| {
+            with_alternating_sets(engine, model).min(3)
+        }),
     );
-    assert_eq!(kept, first, "an older version moves nothing");
+    assert_eq!(kept, first, "an older version moves no model");
     let left = &all[1..];
-    let second = assign(&shares(11, 3), &lags(left, behind));
+    let second = assign(&equal_shares(11, 3), &lags(left, behind));
     for (before, after) in first[1..].iter().zip(&second) {
         let kept = before.iter().all(|model| after.contains(model));
         assert!(
             kept,
-            "one engine that leaves moves no other: {before:?} {after:?}"
+            "an engine that leaves moves no model of others: {before:?} {after:?}"
         );
     }
 }
 
-/// Guards against a step that finds all engines of its model loading.
+/// Guards against a step that arrives while all engines of its model are loading.
 #[test]
 fn a_step_begins_on_one_set_while_the_other_loads() {
-    // Six engines serve the model, by turns; all serve another model too, which has no
-    // news.
+    // Six engines serve the model, in two sets; all also serve another model, which has no new
+    // version.
     let versions = [4, 4, 4, 3, 3, 3];
     let mut weights = Vec::new();
     for (at, version) in versions.into_iter().enumerate() {
@@ -163,7 +166,7 @@
     }
     let mut loaded = Vec::new();
     loop {
-        let loads = next_loads(&weights, loads_at_most(6), &shares(6, 2));
+        let loads = next_loads(&weights, loads_at_most(6), &equal_shares(6, 2));
         let Some(first) = loads.first() else {
             break;
         };
@@ -174,7 +177,7 @@
     assert_eq!(loaded, [3, 4, 5]);
 }
 
-/// Guards against a model that waits for its first engine while others' second sets load.
+/// Guards against a model that waits for its first engine while other models' second sets load.
 #[test]
 fn the_model_without_a_usable_engine_loads_first() {
     let mut weights = Vec::new();
@@ -194,40 +197,40 @@
         add(engine + 6, 1, 3);
         add(engine + 9, 1, 3);
     }
-    let loads = next_loads(&weights, loads_at_most(12), &shares(12, 2));
+    let loads = next_loads(&weights, loads_at_most(12), &equal_shares(12, 2));
     let models: Vec<u32> = loads.iter().map(|at| weights[*at].model.0).collect();
     assert_eq!(models, [1, 1, 1]);
 }
 
-struct Order {
+struct OrderCase {
     name: &'static str,
-    /// Group and expected tokens.
+    /// Group and expected tokens of each sample.
     samples: &'static [(usize, u32)],
     target_groups: usize,
-    /// Places of the samples in the order in which they start.
-    starts: &'static [usize],
+    /// Indexes of the samples in the order in which they start.
+    expected: &'static [usize],
 }
 
 #[test]
-fn the_order_of_a_step() {
+fn sample_order_of_a_step() {
     let cases = [
-        Order {
+        OrderCase {
             name: "long samples first",
             samples: &[(0, 10), (0, 90), (1, 50), (1, 20)],
             target_groups: 2,
-            starts: &[1, 2, 3, 0],
+            expected: &[1, 2, 3, 0],
         },
-        Order {
-            name: "the group beyond those waited for goes last, with all its samples",
+        OrderCase {
+            name: "the group beyond the target goes last, with all its samples",
             samples: &[(0, 10), (1, 10), (2, 900), (2, 5), (3, 20)],
             target_groups: 3,
-            starts: &[4, 0, 1, 2, 3],
+            expected: &[4, 0, 1, 2, 3],
         },
-        Order {
-            name: "groups that come again stand first and are never left for last",
+        OrderCase {
+            name: "resubmitted groups stand first and are never moved to the end",
             samples: &[(0, 900), (1, 10), (2, 20)],
             target_groups: 2,
-            starts: &[0, 1, 2],
+            expected: &[0, 1, 2],
         },
     ];
     for case in cases {
@@ -239,36 +242,36 @@
         let ranks = ranks(&samples, case.target_groups, 1_000);
         let mut order: Vec<usize> = (0..samples.len()).collect();
         order.sort_by_key(|at| ranks[*at]);
-        assert_eq!(order, case.starts, "{}", case.name);
+        assert_eq!(order, case.expected, "{}", case.name);
     }
 }
 
-/// What is wanted by the rule itself, one load at a time with a look at every pair. Slow
-/// on many engines; the plan in `waves` has to order the same.
-fn loads_by_rule(weights: &[EngineWeights], at_once: usize, a_version: usize) -> Vec<usize> {
+/// Reference implementation of the plan in `waves`: orders one load at a time and compares every
+/// pair, which is slow on many engines.
+fn reference_loads(weights: &[EngineWeights], at_once: usize, a_version: usize) -> Vec<usize> {
     let mut planned = weights.to_vec();
     let mut loads = Vec::new();
-    while planned.iter().filter(|held| held.loading).count() < at_once {
+    while planned.iter().filter(|pair| pair.loading).count() < at_once {
         let wanted = |at: &usize| {
-            let held = planned[*at];
-            let same_engine = || planned.iter().filter(|other| other.engine == held.engine);
+            let pair = planned[*at];
+            let same_engine = || planned.iter().filter(|other| other.engine == pair.engine);
             let busy = same_engine().any(|other| other.loading);
-            let behind = held.named.saturating_sub(held.version);
-            let same_model = planned.iter().filter(|other| other.model == held.model);
+            let behind = pair.named.saturating_sub(pair.version);
+            let same_model = planned.iter().filter(|other| other.model == pair.model);
             let newest = same_model.filter(|other| other.loading || other.version >= other.named);
             let alone = behind >= 2 && same_engine().count() == 1;
-            !busy && !held.unavailable && behind > 0 && (alone || newest.count() < a_version)
+            !busy && !pair.unavailable && behind > 0 && (alone || newest.count() < a_version)
         };
         let usable = |model: ModelKey| {
-            let of_model = planned.iter().filter(|held| held.model == model);
+            let of_model = planned.iter().filter(|pair| pair.model == model);
             let usable =
-                of_model.filter(|held| held.loading || held.named.saturating_sub(held.version) < 2);
+                of_model.filter(|pair| pair.loading || pair.named.saturating_sub(pair.version) < 2);
             usable.count()
         };
         let next = (0..planned.len()).filter(wanted).min_by_key(|at| {
-            let held = planned[*at];
-            let behind = held.named.saturating_sub(held.version);
-            (usable(held.model), Reverse(behind), Reverse(*at))
+            let pair = planned[*at];
+            let behind = pair.named.saturating_sub(pair.version);
+            (usable(pair.model), Reverse(behind), Reverse(*at))
         });
         let Some(at) = next else {
             break;
@@ -280,10 +283,10 @@
 }
 
 proptest! {
-    /// The plan that is kept by counts orders what the rule orders, whatever engines have,
+    /// The plan that updates counts orders the same loads as the reference, whatever engines have,
     /// load or refuse.
     #[test]
-    fn a_plan_by_counts_orders_what_the_rule_orders(
+    fn plan_matches_the_reference(
         engines in prop::collection::vec((1u32..8, 0u64..4, 0u64..4, 0u64..4, 0u8..8), 1..24),
     ) {
         let mut weights = Vec::new();
@@ -301,47 +304,47 @@
                 }
             }
         }
-        let mut models: Vec<u32> = weights.iter().map(|held| held.model.0).collect();
+        let mut models: Vec<u32> = weights.iter().map(|pair| pair.model.0).collect();
         models.sort_unstable();
         models.dedup();
         let share = engines.len().div_ceil(models.len());
         let at_once = loads_at_most(engines.len());
-        let expected = loads_by_rule(&weights, at_once, (share * 3).div_ceil(4));
-        let division = shares(engines.len(), models.len());
+        let expected = reference_loads(&weights, at_once, (share * 3).div_ceil(4));
+        let division = equal_shares(engines.len(), models.len());
         prop_assert_eq!(next_loads(&weights, at_once, &division), expected);
     }
 }
 
-struct Demand {
+struct NeedCase {
     name: &'static str,
     engines: usize,
-    /// Engines that each of three models needs.
+    /// Number of engines that each of three models needs.
     needs: [usize; 3],
-    /// Engines that serve each model, and that load its next version.
+    /// Number of engines expected to serve each model, and to load its next version.
     serve: [usize; 3],
     load: [usize; 3],
 }
 
-/// Guards against a version of weights that a share of the whole fleet loads, whatever the
-/// steps of its model can use: the loads of a day must not grow with the engines.
+/// Guards against a share of the whole fleet loading each version regardless of what the steps of
+/// its model can use: the number of loads must not grow with the fleet.
 #[test]
 fn loads_follow_what_steps_need() {
     let cases = [
-        Demand {
-            name: "a pool that is smaller than what is needed",
+        NeedCase {
+            name: "a pool smaller than the need",
             engines: 12,
             needs: [40; 3],
             serve: [6; 3],
             load: [3; 3],
         },
-        Demand {
+        NeedCase {
             name: "a fleet",
             engines: 1_000,
             needs: [40, 60, 20],
             serve: [80, 120, 40],
             load: [40, 60, 20],
         },
-        Demand {
+        NeedCase {
             name: "ten times that fleet",
             engines: 10_000,
             needs: [40, 60, 20],
@@ -356,18 +359,19 @@
         });
         let division = Division {
             needs: needs.collect(),
-            ..shares(case.engines, 3)
+            ..equal_shares(case.engines, 3)
         };
         let all: Vec<usize> = (0..case.engines).collect();
         let assigned = assign(&division, &lags(&all, |_, _| 0));
         let mut weights: Vec<EngineWeights> = Vec::new();
         for (engine, models) in assigned.iter().enumerate() {
             for model in models {
-                let before = weights.iter().filter(|held| held.model == *model);
+                let before = weights.iter().filter(|pair| pair.model == *model);
                 weights.push(EngineWeights {
                     engine: UpstreamKey(engine as u32),
                     model: *model,
-                    // One of the model's sets has the version before, the other is behind.
+                    // One of the model's sets has the previous version, the other is further
+                    // behind.
                     version: 1 + before.count() as u64 % 2,
                     named: 3,
                     loading: false,
@@ -377,7 +381,7 @@
         }
         let loads = next_loads(&weights, usize::MAX, &division);
         for model in 0..3 {
-            let of_model = |held: &&EngineWeights| held.model.0 == model as u32;
+            let of_model = |pair: &&EngineWeights| pair.model.0 == model as u32;
             let serve = weights.iter().filter(of_model).count();
             assert_eq!(serve, case.serve[model], "{}: model {model}", case.name);
             let loads = loads.iter().map(|at| &weights[*at]).filter(of_model);
