--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,34 +1,35 @@
-//! Which upstream a piece of work goes to.
+//! Load balancing: which upstream a piece of work goes to.
 //!
-//! **Load:** thousands of upstreams, prompts that share prefixes, a few hot
-//! prefixes. **Without it:** each decision looks at every upstream; each
-//! entry holds a connection to each; equal prompts are computed on every engine;
-//! or, with affinity alone, a hot prefix overloads one engine while others idle.
-//! **How:** an entry uses a bounded subset, cut so that subsets of all entries
-//! cover the upstreams evenly. A prefix hashes to a point on a ring; the next
-//! few upstreams on the ring are the candidates, and the best by load, speed,
-//! zone and place on the ring gets the work. An upstream that joins or leaves moves only
-//! the prefixes next to it.
+//! There are thousands of upstreams, prompts share prefixes, and a few prefixes are hot. Without
+//! subsets each decision compares all upstreams, and each entry holds a connection to all of
+//! them. Without affinity equal prefixes are computed on every engine; with affinity alone
+//! a hot prefix overloads one engine while others are idle.
+//!
+//! An entry uses a bounded subset of the upstreams; the subsets of all entries cover the
+//! upstreams evenly. A prompt prefix is hashed to a point on a ring (consistent hashing). The
+//! next few upstreams on the ring are the candidates, and the best one by load, speed, zone and
+//! position on the ring gets the work. An upstream that joins or leaves moves only the prefixes
+//! next to it.
 
 use crate::work::UpstreamState;
 
-/// Upstreams that one entry uses: hundreds of entries cover thousands of upstreams several
-/// times over, and a scan stays short.
+/// Number of upstreams that one entry uses: hundreds of entries cover thousands of upstreams
+/// several times over, and a scan stays short.
 pub const SUBSET: usize = 48;
 
-/// Part of the subset that is taken from the entry's own zone, where there are
-/// enough: calls then cross zones only when the own zone is full.
-const SUBSET_LOCAL: usize = SUBSET / 2;
+/// Number of upstreams of the subset in the entry's own availability zone, if there are enough:
+/// calls then cross zones only when the own zone is full.
+const SUBSET_LOCAL_SIZE: usize = SUBSET / 2;
 
-/// Points of an upstream on the ring: parts of the ring then differ by about a third,
-/// which the choice among candidates evens out.
-const POINTS: u64 = 8;
+/// Points of each upstream on the ring: the parts of the ring then differ by about a third, which
+/// the choice among candidates evens out.
+const POINTS_PER_UPSTREAM: u64 = 8;
 
-/// Candidates for one piece of work: with two, loads already differ by little;
-/// more let affinity, zone and speed weigh in.
+/// Candidates for one piece of work: two already balance load well; more allow a choice by
+/// affinity, zone and speed.
 pub const CANDIDATES: usize = 6;
 
-/// Mixes the bits of a hash.
+/// Mixes the bits of a hash (the `SplitMix64` finalizer).
 #[must_use]
 pub const fn mix(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
@@ -37,7 +38,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The subset of `upstreams` for the entry with this rank among so many.
+/// Subset of `upstreams` for the entry with this rank (from 0) among so many entries.
 #[must_use]
 pub fn subset(upstreams: &[UpstreamState], rank: usize, entries: usize) -> Vec<UpstreamState> {
     if upstreams.len() <= SUBSET {
@@ -45,17 +46,22 @@
     }
     let mut sorted = upstreams.to_vec();
     sorted.sort_unstable_by_key(|state| (!state.local_zone, mix(state.hash)));
-    let local = sorted.partition_point(|state| state.local_zone);
-    let (near, far) = sorted.split_at(local);
-    let near_count = SUBSET_LOCAL
-        .min(near.len())
-        .max(SUBSET.saturating_sub(far.len()));
-    let mut chosen = window(near, rank, entries, near_count);
-    chosen.extend(window(far, rank, entries, SUBSET - near_count));
+    let local_count = sorted.partition_point(|state| state.local_zone);
+    let (local_upstreams, other_upstreams) = sorted.split_at(local_count);
+    let local_target = SUBSET_LOCAL_SIZE
+        .min(local_upstreams.len())
+        .max(SUBSET.saturating_sub(other_upstreams.len()));
+    let mut chosen = window(local_upstreams, rank, entries, local_target);
+    chosen.extend(window(
+        other_upstreams,
+        rank,
+        entries,
+        SUBSET - local_target,
+    ));
     chosen
 }
 
-/// `count` upstreams from this rank's place on, around the end if need be.
+/// `count` upstreams from the start index of this rank on, wrapping around at the end.
 fn window(
     sorted: &[UpstreamState],
     rank: usize,
@@ -63,45 +69,47 @@
     count: usize,
 ) -> Vec<UpstreamState> {
     let start = rank * sorted.len() / entries.max(1);
-    let around = sorted.iter().cycle().skip(start);
-    around.take(count.min(sorted.len())).copied().collect()
+    let wrapped = sorted.iter().cycle().skip(start);
+    wrapped.take(count.min(sorted.len())).copied().collect()
 }
 
-/// Upstreams on a ring of hashes; holds their places in the dispatcher's list.
+/// Hash ring of upstreams, which it names by their indexes in the dispatcher's list.
 #[derive(Debug, Default)]
 pub struct Ring {
-    /// Sorted by point.
+    /// Point and index of an upstream, sorted by point.
     points: Vec<(u64, u32)>,
     upstreams: usize,
 }
 
 impl Ring {
-    /// A ring of these upstreams.
+    /// A ring of the upstreams with these hashes, in the order of the dispatcher's list.
     #[must_use]
     pub fn new(hashes: impl Iterator<Item = u64>) -> Self {
         let mut points = Vec::new();
         let mut upstreams = 0;
-        for (place, hash) in hashes.enumerate() {
+        for (index, hash) in hashes.enumerate() {
             upstreams += 1;
-            points.extend((0..POINTS).map(|point| (mix(hash ^ mix(point)), place as u32)));
+            points.extend(
+                (0..POINTS_PER_UPSTREAM).map(|point| (mix(hash ^ mix(point)), index as u32)),
+            );
         }
         points.sort_unstable();
         Self { points, upstreams }
     }
 
-    /// The first distinct upstreams from the point of this prefix on.
+    /// First distinct upstreams from the point of this prompt prefix on.
     #[must_use]
     pub fn candidates(&self, prefix: u64) -> Candidates {
         let point = mix(prefix);
         let start = self.points.partition_point(|(at, _)| *at < point);
         let wanted = CANDIDATES.min(self.upstreams);
         let mut found = Candidates::default();
-        let mut steps = 0;
-        while found.count < wanted && steps < self.points.len() {
-            let (_, place) = self.points[(start + steps) % self.points.len()];
-            steps += 1;
-            if !found.as_slice().contains(&place) {
-                found.places[found.count] = place;
+        let mut visited = 0;
+        while found.count < wanted && visited < self.points.len() {
+            let (_, index) = self.points[(start + visited) % self.points.len()];
+            visited += 1;
+            if !found.as_slice().contains(&index) {
+                found.indexes[found.count] = index;
                 found.count += 1;
             }
         }
@@ -109,65 +117,69 @@
     }
 }
 
-/// A few upstreams, best for the cache first.
+/// Candidates in ring order; the first most likely has the prompt prefix in its cache.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Candidates {
-    places: [u32; CANDIDATES],
+    indexes: [u32; CANDIDATES],
     count: usize,
 }
 
 impl Candidates {
-    /// Their places in the dispatcher's list.
+    /// Their indexes in the dispatcher's list.
     #[must_use]
     pub fn as_slice(&self) -> &[u32] {
-        &self.places[..self.count]
+        &self.indexes[..self.count]
     }
 }
 
-/// What is weighed about one candidate.
+/// Properties of an upstream that its score depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Weighed {
-    /// Requests in flight there from here.
+    /// Requests of this entry in flight there.
     pub in_flight: u32,
     /// Slots there for this entry.
     pub slots: u32,
     /// Requests of all entries, this one included, divided by all slots of the upstream. Used
     /// instead of `in_flight` and `slots`; `None` if the upstream does not report its load.
     pub reported_load: Option<f64>,
-    /// Times slower than its peers.
+    /// Factor by which it is slower than its peers.
     pub slowness: f64,
-    /// In the entry's own zone.
+    /// In the entry's own availability zone.
     pub local_zone: bool,
     /// First on the ring for this prefix.
     pub first: bool,
-    /// Its ejection is over, and the next work shows whether it is well.
+    /// Its ejection for failures is over, and the next work probes it.
     pub probing: bool,
 }
 
-/// Another zone costs as much as this part of a full upstream: two crossings of
-/// a millisecond or so, next to nothing for an engine, a tenth for a plain service.
-const OTHER_ZONE: f64 = 0.1;
+/// Score penalty of another zone, in load. Two crossings of about a millisecond are negligible
+/// for an engine and a tenth of the time of a plain service.
+const OTHER_ZONE_PENALTY: f64 = 0.1;
 
-/// A cached prefix is worth this much load: prefill is a small part of an
-/// answer's time, so a hot prefix spills before its engine is a quarter fuller.
-const CACHED: f64 = 0.25;
+/// Score bonus of a likely cached prefix, in load. Prefill is a small part of an answer's time, so
+/// a hot prefix spills over before its engine is a quarter fuller than others.
+const CACHED_PREFIX_BONUS: f64 = 0.25;
 
-/// Score of an upstream whose ejection is over and that has no work yet: ahead of
-/// all others. By its load it would come last, since its one slot counts as its
-/// whole share, and while others have room it would never be tried again.
-const PROBE: f64 = -1.0;
+/// Score of an upstream that is to be probed: ahead of all others. By load it would come last,
+/// since its one slot counts as its whole share, and it would not be probed while others have
+/// free slots.
+const PROBE_SCORE: f64 = -1.0;
 
 impl Weighed {
-    /// The lower the better.
+    /// Score of the upstream; lower is better.
     #[must_use]
     pub fn score(&self) -> f64 {
         if self.probing {
-            return PROBE;
+            return PROBE_SCORE;
         }
         let own_load = f64::from(self.in_flight + 1) / f64::from(self.slots.max(1));
         let load = self.reported_load.unwrap_or(own_load);
-        let zone = if self.local_zone { 0.0 } else { OTHER_ZONE };
-        let cache = if self.first { CACHED } else { 0.0 };
+        let zone = if self.local_zone {
+            0.0
+        } else {
+            OTHER_ZONE_PENALTY
+        };
+        let cache = if self.first { CACHED_PREFIX_BONUS } else { 0.0 };
         load * self.slowness + zone - cache
     }
 }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,52 +1,52 @@
-//! How the limit of an upstream is divided among the entries.
+//! Divides the limit of an upstream among the entries (nodes that accept work for it).
 //!
-//! **Load:** callers and feeds spread unevenly over the entries, and entries
-//! come and go. **Without it:** equal parts leave slots of quiet entries unused
-//! and turn work away at busy ones; parts rounded each for itself sum to much
-//! less than the limit (3 × 9 of 32) or more (4 × 9); and an entry that is cut off
-//! takes the others for dead and the whole limit for itself. **How:** parts by
-//! demand, no
-//! one's above what is left when smaller needs are met (max-min fairness), cut from one line: entry `r` takes what lies between the sum of
-//! the parts before it and the sum that includes it, so that with equal views
-//! the parts sum to the limit exactly.
+//! Callers and trainers spread unevenly over the entries, and entries come and go. Equal
+//! shares would leave slots of idle entries unused while busy ones refuse work. Shares that are
+//! rounded separately sum to much less than the limit (3 × 9 of 32) or more (4 × 9). And
+//! an entry that is partitioned from the others would take them for dead and use the whole limit.
+//!
+//! So the limit is divided by demand with max-min fairness. Shares are adjacent ranges of the
+//! interval from 0 to 1: the range of entry `r` starts at the sum of the shares before it. Where
+//! all entries know the same demands, the slots sum to the limit exactly.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::work::Fleet;
 
-/// An entry gets this much more than it is known to need, and this many slots in
-/// any case: a caller that turns to a quiet entry finds room there before its
-/// demand has been exchanged.
-const HEADROOM: f64 = 1.25;
+/// Factor and additional slots by which the need of an entry exceeds its known demand: a caller
+/// that moves to an idle entry finds free slots there before its demand has been exchanged.
+const HEADROOM_FACTOR: f64 = 1.25;
 const HEADROOM_SLOTS: f64 = 4.0;
 
-/// Part of the first computed part that a new entry starts with.
-const START_PART: f64 = 0.25;
+/// Part of its first computed share that a new entry starts with.
+const INITIAL_PART: f64 = 0.25;
 
-/// A larger part is used this long after it was first computed: by then the
-/// entries that give it up have learnt of it (two reports of half a second,
-/// exchange over a few hops) and hold the smaller one, which is used at once.
-const RAISE_AFTER: Duration = Duration::from_secs(3);
+/// Delay until an increased share is used. By then the entries whose shares shrink have learnt
+/// of it (two reports, half a second apart, and a few hops of exchange) and use their smaller
+/// shares, which apply immediately.
+const RAISE_DELAY: Duration = Duration::from_secs(3);
 
-/// With fewer live entries than this part of the known ones, this entry is
-/// more likely cut off than alone, and falls back to an equal part of all known.
-const CUT_OFF_BELOW: f64 = 0.5;
+/// With fewer live entries than this part of the known ones, this entry is more likely
+/// partitioned than alone, and falls back to an equal share among all known entries.
+const PARTITIONED_BELOW: f64 = 0.5;
 
+/// Slots that an entry with this demand is to get.
 fn need(demand: u32) -> f64 {
-    f64::from(demand) * HEADROOM + HEADROOM_SLOTS
+    f64::from(demand) * HEADROOM_FACTOR + HEADROOM_SLOTS
 }
 
-/// The most that any entry gets if all that need less get what they need.
+/// Highest number of slots that any entry gets if all that need less get what they need
+/// (max-min fairness); infinite if the capacity meets all needs.
 ///
-/// Demand beyond it counts for nothing, so that entries whose queues are long,
-/// as training's always are, do not take from one another as queues vary.
-fn water_level(demands: &[u32], capacity: f64) -> f64 {
+/// Demand above it has no effect: entries with long queues, as training always has, keep equal
+/// shares while their queue lengths vary.
+fn max_min_slots(demands: &[u32], capacity: f64) -> f64 {
     let mut needs: Vec<f64> = demands.iter().copied().map(need).collect();
     needs.sort_unstable_by(f64::total_cmp);
     let mut left = capacity;
-    for (at, need) in needs.iter().enumerate() {
-        let equal = left / (needs.len() - at) as f64;
+    for (index, need) in needs.iter().enumerate() {
+        let equal = left / (needs.len() - index) as f64;
         if *need >= equal {
             return equal;
         }
@@ -55,7 +55,7 @@
     f64::INFINITY
 }
 
-/// A range on the line from 0 to 1.
+/// Share of one entry, as a range of the interval from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Part {
     start: f64,
@@ -63,12 +63,13 @@
 }
 
 impl Part {
-    /// The part of one entry, where all together may have `capacity` in flight.
+    /// Share of the entry at `fleet.rank`, where all entries together may have `capacity` requests
+    /// in flight.
     #[must_use]
     pub fn of(fleet: &Fleet<'_>, capacity: f64) -> Self {
         let live = fleet.demands.len().max(1) as f64;
         let known = fleet.known as f64;
-        if live < known * CUT_OFF_BELOW {
+        if live < known * PARTITIONED_BELOW {
             let width = 1.0 / known;
             let start = fleet.rank as f64 * width;
             return Self {
@@ -76,65 +77,66 @@
                 end: start + width,
             };
         }
-        let level = water_level(fleet.demands, capacity);
-        let given: Vec<f64> = fleet
+        let level = max_min_slots(fleet.demands, capacity);
+        let allotted: Vec<f64> = fleet
             .demands
             .iter()
-            .map(|it| need(*it).min(level))
+            .map(|demand| need(*demand).min(level))
             .collect();
-        // What no one needs is divided equally, for needs that are not known yet.
-        let spare = (capacity - given.iter().sum::<f64>()).max(0.0) / live;
-        let width = |given: &f64| (given + spare) / capacity;
-        let start = given.iter().take(fleet.rank).map(width).sum();
-        let own = given.get(fleet.rank).map_or(0.0, width);
+        // Capacity that no entry needs is divided equally, for demand that is not known yet.
+        let unneeded_each = (capacity - allotted.iter().sum::<f64>()).max(0.0) / live;
+        let width = |slots: &f64| (slots + unneeded_each) / capacity;
+        let start = allotted.iter().take(fleet.rank).map(width).sum();
+        let own = allotted.get(fleet.rank).map_or(0.0, width);
         Self {
             start,
             end: start + own,
         }
     }
 
-    /// Its share of the whole.
+    /// Fraction of the limit.
     #[must_use]
     pub fn width(&self) -> f64 {
         self.end - self.start
     }
 
-    /// Slots of `limit` that fall to this part. `offset` (0 to 1) differs by
-    /// upstream, so that odd slots fall to another entry at each.
+    /// Whole slots of `limit` in this range. `offset` (0 to 1) differs by upstream, so that at
+    /// each of them other entries get the slots that rounding leaves over.
     #[must_use]
     pub fn slots(&self, limit: f64, offset: f64) -> u32 {
-        let cut = |at: f64| (at * limit + offset + ROUNDING).floor();
-        (cut(self.end) - cut(self.start)).max(0.0) as u32
+        let boundary = |position: f64| (position * limit + offset + ROUNDING_TOLERANCE).floor();
+        (boundary(self.end) - boundary(self.start)).max(0.0) as u32
     }
 }
 
-/// Sums of parts miss whole numbers by less than this.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for sums of shares that should be whole numbers.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The part in force: a smaller one at once, a larger one after a while.
+/// Share in use: a decrease applies immediately, an increase after [`RAISE_DELAY`].
 #[derive(Debug, Default)]
 pub struct HeldPart {
-    /// The parts computed in the last while, oldest first.
+    /// Shares computed within [`RAISE_DELAY`] and the last one before, oldest first.
     computed: Vec<(Instant, Part)>,
 }
 
 impl HeldPart {
-    /// Takes in the fleet as it is now known.
+    /// Computes the share for the fleet as known now. `capacity` is the sum of the upstreams'
+    /// limits.
     pub fn set(&mut self, now: Instant, fleet: &Fleet<'_>, capacity: f64) {
         let part = Part::of(fleet, capacity);
         if self.computed.is_empty() {
-            // The others divide everything among themselves until they know
-            // of a new entry.
+            // The other entries divide the whole limit among themselves until they know of this
+            // one.
             let start = part.start;
-            let end = start + part.width() * START_PART;
+            let end = start + part.width() * INITIAL_PART;
             self.computed.push((now, Part { start, end }));
         }
         self.computed.push((now, part));
     }
 
-    /// The part in force.
+    /// Share in use at this time.
     pub fn get(&mut self, now: Instant) -> Part {
-        while self.computed.len() > 1 && self.computed[1].0 + RAISE_AFTER <= now {
+        while self.computed.len() > 1 && self.computed[1].0 + RAISE_DELAY <= now {
             self.computed.remove(0);
         }
         let narrowest = self
--- a/crates/policy/src/siting.rs
+++ b/crates/policy/src/siting.rs
@@ -1,53 +1,54 @@
-//! Which node becomes the home of a model.
+//! Which node becomes the home of a model, that is, runs all of its steps.
 //!
-//! **Load:** all steps of a model run at one node: hundreds of streams at once, their results
-//! and the pages that trainers read. VMs differ in size tenfold, and a trainer's first step
-//! arrives at any of them. **Without it:** a home is a VM by chance, mostly one of the small
-//! ones; it cannot keep up, while the few that could are idle. **How:** the model goes where
-//! it gets the largest part of a VM, so that homes fill the large VMs first and a small one
-//! gets its first model when no large one has more to give. Whoever looks knows a part of the
-//! nodes only, and the best of all finds is taken.
+//! The home handles hundreds of streams at once, their results and the pages that trainers read.
+//! VMs differ in size tenfold, and the first step of a trainer arrives at any of them. If that
+//! node became the home, it would mostly be a small VM that cannot keep up, while the few large
+//! ones are idle.
+//!
+//! So a model goes to the node whose VM has the most capacity per model. Large VMs fill first,
+//! and a small one gets a model once no large one can offer more. A node that searches knows
+//! only some of the nodes, so several search and the best result is used.
 
 use std::cmp::Ordering;
 
 use crate::route::mix;
 
-/// Names a node among the candidates.
+/// Identifies a node among the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeKey(pub u32);
 
 /// A node that could become the home of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// Key of the node.
     pub node: NodeKey,
-    /// Hash of what names it everywhere.
+    /// Hash of the node's identity, the same at every node.
     pub hash: u64,
-    /// What its VM can bear, in any unit that is the same for all.
+    /// Capacity of its VM, in any unit that is the same for all candidates.
     pub capacity: f64,
-    /// Models whose home it is already.
+    /// Number of models whose home it already is.
     pub homes: u32,
 }
 
 impl Candidate {
-    /// Part of its VM that one more model would get.
+    /// Capacity that one more model would get.
     fn share(&self) -> f64 {
         self.capacity / f64::from(self.homes + 1)
     }
 }
 
-/// What a home is worth to a model.
+/// Score of a node as the home of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Worth {
-    /// Part of its VM that the model would get.
+    /// Capacity of its VM that the model would get.
     pub share: f64,
-    /// Tells equal ones apart, by the hashes of node and model, so that models that come at
-    /// once go to different nodes.
+    /// Breaks ties by the hashes of node and model, so that models that arrive at the same time
+    /// go to different nodes.
     pub order: u64,
 }
 
 impl Worth {
-    /// Compares two homes for one model.
+    /// Compares two candidates for the same model; the greater one is better.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Ordering {
         let by_share = self.share.total_cmp(&other.share);
@@ -55,13 +56,15 @@
     }
 }
 
-/// The best home for a model with this hash, and its worth.
+/// Best home for the model with this hash, and its score; `None` without candidates.
 #[must_use]
 pub fn best_home(model: u64, candidates: &[Candidate]) -> Option<(NodeKey, Worth)> {
-    let worth = |held: &Candidate| Worth {
-        share: held.share(),
-        order: mix(held.hash ^ mix(model)),
+    let worth = |candidate: &Candidate| Worth {
+        share: candidate.share(),
+        order: mix(candidate.hash ^ mix(model)),
     };
-    let weighed = candidates.iter().map(|held| (held.node, worth(held)));
-    weighed.max_by(|(_, a), (_, b)| a.compare(b))
+    let scored = candidates
+        .iter()
+        .map(|candidate| (candidate.node, worth(candidate)));
+    scored.max_by(|(_, a), (_, b)| a.compare(b))
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,5 +1,7 @@
-//! The slots of this entry at its upstreams: how many there are, which are
-//! taken, and which one a piece of work gets.
+//! Slots of this entry at its upstreams: how many it may use, how many are in use, and which
+//! upstream a piece of work goes to.
+//!
+//! A slot is one request that may be in flight at an upstream.
 
 use std::time::Instant;
 
@@ -19,33 +21,34 @@
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
 
-/// Marks an upstream without a place.
-const NO_PLACE: u32 = u32::MAX;
+/// Marks an upstream key without an index in [`Slots::upstreams`].
+const NO_INDEX: u32 = u32::MAX;
 
-/// Running work that is taken as evidence against an upstream counts in full
-/// from this many on: one long answer alone looks like a slow upstream.
-const EVIDENCE: f64 = 3.0;
+/// Number of running requests from which their overdue ratio counts in full against an
+/// upstream: one long answer alone looks like a slow upstream.
+const FULL_EVIDENCE_COUNT: f64 = 3.0;
 
 #[derive(Debug, Clone, Copy)]
-struct Slot {
+struct UpstreamSlots {
     state: UpstreamState,
     health: Health,
-    /// `None` until it has reported how long work takes on its VM.
+    /// `None` until the upstream has reported how long work takes on its VM.
     speed: Option<CallSpeed>,
-    /// Slots that fall to this entry.
+    /// Slots of this entry.
     share: u32,
     /// Slots of the share that may be used now.
     open: u32,
     in_flight: u32,
-    /// Gets no work, since the upstream likely has no room.
-    closed: bool,
-    /// Sum and number of elapsed times over expected ones, at the last look.
+    /// Gets no work, since the upstream likely has no free slot.
+    is_closed: bool,
+    /// Sum and number of the ratios of elapsed to expected time of running work, since the last
+    /// comparison.
     overdue: (f64, f64),
 }
 
-impl Slot {
+impl UpstreamSlots {
     const fn free(&self) -> u32 {
-        if self.closed {
+        if self.is_closed {
             return 0;
         }
         self.open.saturating_sub(self.in_flight)
@@ -55,132 +58,135 @@
 /// All slots of one service.
 #[derive(Debug, Default)]
 pub struct Slots {
-    held: Vec<Slot>,
-    /// Places by upstream key.
-    places: Vec<u32>,
+    upstreams: Vec<UpstreamSlots>,
+    /// Indexes into `upstreams`, by upstream key.
+    index_by_key: Vec<u32>,
     ring: Ring,
     part: HeldPart,
-    /// All upstreams over those in the subset.
+    /// Number of all upstreams divided by the number in the subset.
     scale: f64,
     open: u32,
     free: u32,
     /// Usual speed and load of the upstreams that report them.
     peers: Peers,
-    /// No upstream is ejected for being slow or failing.
-    keeps_outliers: bool,
+    /// No upstream is ejected for slowness or failures.
+    never_ejects: bool,
 }
 
 impl Slots {
-    /// Slots of which none is ever taken from use.
+    /// Slots of upstreams that are not ejected for slowness or failures.
     #[must_use]
     pub fn keeping_outliers() -> Self {
         Self {
-            keeps_outliers: true,
+            never_ejects: true,
             ..Self::default()
         }
     }
 
-    /// Takes in the upstreams and the entries that share them. Slots in use are
-    /// counted anew by [`Slots::take_again`].
+    /// Sets the upstreams and the entries that share them. Resets the slots in use; the caller
+    /// counts them again with [`Slots::take_again`].
     pub fn set(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
         let chosen = subset(upstreams, fleet.rank, fleet.demands.len());
         self.scale = upstreams.len() as f64 / chosen.len().max(1) as f64;
         let limits = upstreams.iter().map(|state| f64::from(state.limit));
         self.part.set(now, fleet, limits.sum::<f64>().max(1.0));
-        let same = chosen.len() == self.held.len()
+        let is_unchanged = chosen.len() == self.upstreams.len()
             && chosen
                 .iter()
-                .zip(&self.held)
-                .all(|(new, held)| new.key == held.state.key);
-        if !same {
-            self.replace(now, &chosen);
+                .zip(&self.upstreams)
+                .all(|(new, old)| new.key == old.state.key);
+        if !is_unchanged {
+            self.replace_upstreams(now, &chosen);
         }
-        for (slot, state) in self.held.iter_mut().zip(chosen) {
-            slot.state = state;
-            slot.in_flight = 0;
+        for (upstream, state) in self.upstreams.iter_mut().zip(chosen) {
+            upstream.state = state;
+            upstream.in_flight = 0;
         }
     }
 
-    fn replace(&mut self, now: Instant, chosen: &[UpstreamState]) {
-        let first = self.held.is_empty();
-        let replaced: Vec<Slot> = chosen
+    fn replace_upstreams(&mut self, now: Instant, chosen: &[UpstreamState]) {
+        let is_first = self.upstreams.is_empty();
+        let updated: Vec<UpstreamSlots> = chosen
             .iter()
             .map(|state| {
-                let held = self.place(state.key).map(|place| &self.held[place]);
-                let speed = held.and_then(|slot| slot.speed);
-                let held = held.map(|slot| slot.health);
-                let fresh = if first {
+                let known = self.index_of(state.key).map(|index| &self.upstreams[index]);
+                let speed = known.and_then(|upstream| upstream.speed);
+                let health = known.map(|upstream| upstream.health);
+                let new_health = if is_first {
                     Health::steady()
                 } else {
                     Health::new(now)
                 };
-                Slot {
+                UpstreamSlots {
                     state: *state,
-                    health: held.unwrap_or(fresh),
+                    health: health.unwrap_or(new_health),
                     speed,
                     share: 0,
                     open: 0,
                     in_flight: 0,
-                    closed: false,
+                    is_closed: false,
                     overdue: (0.0, 0.0),
                 }
             })
             .collect();
         let keys = chosen.iter().map(|state| state.key.0 as usize + 1);
-        self.places.clear();
-        self.places.resize(keys.max().unwrap_or(0), NO_PLACE);
-        for (place, state) in chosen.iter().enumerate() {
-            self.places[state.key.0 as usize] = place as u32;
+        self.index_by_key.clear();
+        self.index_by_key.resize(keys.max().unwrap_or(0), NO_INDEX);
+        for (index, state) in chosen.iter().enumerate() {
+            self.index_by_key[state.key.0 as usize] = index as u32;
         }
         self.ring = Ring::new(chosen.iter().map(|state| state.hash));
-        self.held = replaced;
+        self.upstreams = updated;
     }
 
-    fn place(&self, key: UpstreamKey) -> Option<usize> {
-        let place = *self.places.get(key.0 as usize)?;
-        (place != NO_PLACE).then_some(place as usize)
+    fn index_of(&self, key: UpstreamKey) -> Option<usize> {
+        let index = *self.index_by_key.get(key.0 as usize)?;
+        (index != NO_INDEX).then_some(index as usize)
     }
 
-    /// Work that was started before the upstreams were set anew.
+    /// Counts a slot in use by work that was started before [`Slots::set`].
     pub fn take_again(&mut self, key: UpstreamKey) {
-        if let Some(place) = self.place(key) {
-            self.held[place].in_flight += 1;
+        if let Some(index) = self.index_of(key) {
+            self.upstreams[index].in_flight += 1;
         }
     }
 
-    /// Works out how many slots may be used now.
+    /// Updates how many slots may be used now.
     pub fn refresh(&mut self, now: Instant, limit: &Limit) {
         let part = self.part.get(now);
-        for slot in &mut self.held {
-            let whole = limit.of(f64::from(slot.state.limit)) * self.scale;
-            let offset = mix(slot.state.hash) as f64 / u64::MAX as f64;
-            slot.share = part.slots(whole, offset);
+        for upstream in &mut self.upstreams {
+            let limit_of_all = limit.of(f64::from(upstream.state.limit)) * self.scale;
+            let offset = mix(upstream.state.hash) as f64 / u64::MAX as f64;
+            upstream.share = part.slots(limit_of_all, offset);
         }
-        if self.held.iter().all(|slot| slot.share == 0) {
-            // The limit is smaller than the number of entries. One slot each
-            // is the least with which an entry can work at all.
-            let first = self.held.iter_mut().min_by_key(|slot| mix(slot.state.hash));
-            if let Some(slot) = first {
-                slot.share = 1;
+        if self.upstreams.iter().all(|upstream| upstream.share == 0) {
+            // The limit is smaller than the number of entries. An entry without any slot
+            // could serve nothing.
+            let receiver = self
+                .upstreams
+                .iter_mut()
+                .min_by_key(|upstream| mix(upstream.state.hash));
+            if let Some(upstream) = receiver {
+                upstream.share = 1;
             }
         }
         self.open = 0;
         self.free = 0;
-        for slot in &mut self.held {
-            slot.open = if slot.state.leaving {
+        for upstream in &mut self.upstreams {
+            upstream.open = if upstream.state.leaving {
                 0
             } else {
-                slot.health.slots(now, slot.share)
+                upstream.health.slots(now, upstream.share)
             };
-            self.open += slot.open;
-            self.free += slot.free();
+            self.open += upstream.open;
+            self.free += upstream.free();
         }
     }
 
-    /// Running work at this upstream has taken so much of its expected time.
+    /// Records the ratio of elapsed to expected time of work that runs at this upstream.
     pub fn note_overdue(&mut self, key: UpstreamKey, ratio: f64) {
-        if let Some(place) = self.place(key) {
-            let (sum, count) = &mut self.held[place].overdue;
+        if let Some(index) = self.index_of(key) {
+            let (sum, count) = &mut self.upstreams[index].overdue;
             *sum += ratio;
             *count += 1.0;
         }
@@ -188,46 +194,56 @@
 
     /// Compares the upstreams with one another and ejects outliers.
     pub fn compare(&mut self, now: Instant) {
-        let speeds = self.held.iter().filter_map(|slot| slot.health.compared());
+        let speeds = self
+            .upstreams
+            .iter()
+            .filter_map(|upstream| upstream.health.compared());
         let median_speed = median(speeds.collect());
-        self.peers = Peers::of(now, self.held.iter().filter_map(|slot| slot.speed.as_ref()));
-        let overdue = self.held.iter().map(|slot| slot.overdue(now));
-        let usual = median(overdue.collect()).unwrap_or(1.0).max(1.0);
-        for slot in &mut self.held {
-            let overdue = slot.overdue(now) / usual;
-            slot.health.set_overdue(overdue.max(1.0));
-            slot.health.compare(median_speed);
-            slot.overdue = (0.0, 0.0);
+        self.peers = Peers::of(
+            now,
+            self.upstreams
+                .iter()
+                .filter_map(|upstream| upstream.speed.as_ref()),
+        );
+        let overdue = self.upstreams.iter().map(|upstream| upstream.overdue(now));
+        let median_overdue = median(overdue.collect()).unwrap_or(1.0).max(1.0);
+        for upstream in &mut self.upstreams {
+            let overdue = upstream.overdue(now) / median_overdue;
+            upstream.health.set_overdue(overdue.max(1.0));
+            upstream.health.compare(median_speed);
+            upstream.overdue = (0.0, 0.0);
         }
-        let mut left = self.may_eject();
-        for slot in &mut self.held {
-            if left > 0 && slot.health.is_outlier() {
-                slot.health.eject_slow(now);
-                left -= 1;
+        let mut ejections_left = self.ejections_left();
+        for upstream in &mut self.upstreams {
+            if ejections_left > 0 && upstream.health.is_outlier() {
+                upstream.health.eject_slow(now);
+                ejections_left -= 1;
             }
         }
     }
 
-    /// The best upstream with room for work of this prefix.
+    /// Best upstream with a free slot for work of this prompt prefix, by load, speed, zone and
+    /// cache. The candidates on the hash ring come first, then all upstreams, then also those in
+    /// `avoid`.
     #[must_use]
     pub fn pick(&self, now: Instant, prefix: u64, avoid: &[UpstreamKey]) -> Option<UpstreamKey> {
         if self.free == 0 {
             return None;
         }
         let candidates = self.ring.candidates(prefix);
-        let first = candidates.as_slice().first().copied();
-        let near = candidates.as_slice().iter().map(|place| *place as usize);
-        self.best(now, near, first, avoid)
-            .or_else(|| self.best(now, 0..self.held.len(), first, avoid))
-            .or_else(|| self.best(now, 0..self.held.len(), first, &[]))
+        let first_candidate = candidates.as_slice().first().copied();
+        let candidate_indexes = candidates.as_slice().iter().map(|index| *index as usize);
+        self.best(now, candidate_indexes, first_candidate, avoid)
+            .or_else(|| self.best(now, 0..self.upstreams.len(), first_candidate, avoid))
+            .or_else(|| self.best(now, 0..self.upstreams.len(), first_candidate, &[]))
     }
 
-    /// The least loaded upstream with room for a draft of this prefix.
+    /// Least loaded upstream with a free slot for a training sample of this prompt prefix.
     ///
-    /// A step is as slow as its fullest engine, and a cached prompt saves a draft little:
-    /// drafts of one prompt that are kept together make engines uneven. So drafts go by
-    /// load alone, over the whole subset; the prefix only turns the order in which
-    /// equal loads are taken, or all entries would fill the same engines first.
+    /// A step is as slow as its fullest engine, and a cached prompt saves little time for a
+    /// sample: prefix affinity would load engines unevenly. So all upstreams of the subset are
+    /// compared without it. The prefix only rotates the order in which equal ones are taken;
+    /// otherwise all entries would fill the same engines first.
     #[must_use]
     pub fn pick_even(
         &self,
@@ -238,81 +254,81 @@
         if self.free == 0 {
             return None;
         }
-        let count = self.held.len();
+        let count = self.upstreams.len();
         let start = (mix(prefix) % count.max(1) as u64) as usize;
-        let turned = (start..count).chain(0..start);
-        self.best(now, turned.clone(), None, avoid)
-            .or_else(|| self.best(now, turned, None, &[]))
+        let rotated = (start..count).chain(0..start);
+        self.best(now, rotated.clone(), None, avoid)
+            .or_else(|| self.best(now, rotated, None, &[]))
     }
 
     fn best(
         &self,
         now: Instant,
-        places: impl Iterator<Item = usize>,
-        first: Option<u32>,
+        indexes: impl Iterator<Item = usize>,
+        first_candidate: Option<u32>,
         avoid: &[UpstreamKey],
     ) -> Option<UpstreamKey> {
         let mut best: Option<(f64, UpstreamKey)> = None;
-        for place in places {
-            let slot = &self.held[place];
-            if slot.free() == 0 || avoid.contains(&slot.state.key) {
+        for index in indexes {
+            let upstream = &self.upstreams[index];
+            if upstream.free() == 0 || avoid.contains(&upstream.state.key) {
                 continue;
             }
-            let load = slot
+            let load = upstream
                 .speed
-                .map(|speed| speed.load_with_one(now, slot.in_flight, &self.peers));
+                .map(|speed| speed.load_with_one(now, upstream.in_flight, &self.peers));
             let weighed = Weighed {
-                in_flight: slot.in_flight,
-                slots: slot.open,
+                in_flight: upstream.in_flight,
+                slots: upstream.open,
                 reported_load: load,
-                slowness: slot.slowness(now, &self.peers),
-                local_zone: slot.state.local_zone,
-                first: first == Some(place as u32),
-                probing: slot.health.is_on_trial(),
+                slowness: upstream.slowness(now, &self.peers),
+                local_zone: upstream.state.local_zone,
+                first: first_candidate == Some(index as u32),
+                probing: upstream.health.is_on_trial(),
             };
             let score = weighed.score();
             if best.is_none_or(|(lowest, _)| score < lowest) {
-                best = Some((score, slot.state.key));
+                best = Some((score, upstream.state.key));
             }
         }
         best.map(|(_, key)| key)
     }
 
-    /// Sets whether an upstream gets no work because it likely has no room.
-    pub fn set_closed(&mut self, key: UpstreamKey, closed: bool) {
-        if let Some(place) = self.place(key) {
-            let slot = &mut self.held[place];
-            self.free -= slot.free();
-            slot.closed = closed;
-            self.free += slot.free();
+    /// Sets whether an upstream gets no work because it likely has no free slot.
+    pub fn set_closed(&mut self, key: UpstreamKey, is_closed: bool) {
+        if let Some(index) = self.index_of(key) {
+            let upstream = &mut self.upstreams[index];
+            self.free -= upstream.free();
+            upstream.is_closed = is_closed;
+            self.free += upstream.free();
         }
     }
 
-    /// Takes a slot that [`Slots::pick`] gave.
+    /// Takes a slot of an upstream that [`Slots::pick`] or [`Slots::pick_even`] returned.
     pub fn take(&mut self, key: UpstreamKey) {
-        if let Some(place) = self.place(key) {
-            let slot = &mut self.held[place];
-            self.free -= slot.free().min(1);
-            slot.in_flight += 1;
-            if let Some(speed) = &mut slot.speed {
+        if let Some(index) = self.index_of(key) {
+            let upstream = &mut self.upstreams[index];
+            self.free -= upstream.free().min(1);
+            upstream.in_flight += 1;
+            if let Some(speed) = &mut upstream.speed {
                 speed.note_sent();
             }
         }
     }
 
-    /// Records the load that an upstream reports with an answer.
+    /// Records the load that an upstream reported with an answer.
     pub fn note_load(&mut self, now: Instant, key: UpstreamKey, load: ToldLoad) {
-        let Some(place) = self.place(key) else {
+        let Some(index) = self.index_of(key) else {
             return;
         };
-        match &mut self.held[place].speed {
+        match &mut self.upstreams[index].speed {
             Some(speed) => speed.note_load(now, load),
             empty if load.time_percent.is_some() => *empty = Some(CallSpeed::new(now, load)),
             None => {}
         }
     }
 
-    /// Gives a slot back and learns from how the work ended.
+    /// Releases a slot and records how the work ended.
     pub fn give_back(
         &mut self,
         now: Instant,
@@ -321,71 +337,85 @@
         cost_tokens: u32,
         elapsed: std::time::Duration,
     ) {
-        let Some(place) = self.place(key) else {
+        let Some(index) = self.index_of(key) else {
             return;
         };
-        let may_eject = self.may_eject() > 0;
-        let slot = &mut self.held[place];
-        self.open -= slot.open;
-        self.free -= slot.free();
-        slot.in_flight = slot.in_flight.saturating_sub(1);
-        if let Some(speed) = slot.speed.as_mut().filter(|_| ending == Ending::Answered) {
+        let may_eject = self.ejections_left() > 0;
+        let upstream = &mut self.upstreams[index];
+        self.open -= upstream.open;
+        self.free -= upstream.free();
+        upstream.in_flight = upstream.in_flight.saturating_sub(1);
+        if let Some(speed) = upstream
+            .speed
+            .as_mut()
+            .filter(|_| ending == Ending::Answered)
+        {
             speed.learn(now, elapsed);
         }
-        // Slowness that the upstream's own report accounts for must not eject it.
-        let unexplained = slot
+        // Slowness that the upstream's own report explains must not eject it.
+        let unexplained = upstream
             .speed
-            .map_or(elapsed, |held| held.speed().unexplained(now, elapsed));
-        slot.health
+            .map_or(elapsed, |speed| speed.speed().unexplained(now, elapsed));
+        upstream
+            .health
             .ended(now, ending, cost_tokens, unexplained, may_eject);
-        slot.open = if slot.state.leaving {
+        upstream.open = if upstream.state.leaving {
             0
         } else {
-            slot.health.slots(now, slot.share)
+            upstream.health.slots(now, upstream.share)
         };
-        self.open += slot.open;
-        self.free += slot.free();
+        self.open += upstream.open;
+        self.free += upstream.free();
     }
 
-    /// Upstreams that may still be ejected before too many are.
-    fn may_eject(&self) -> usize {
-        if self.keeps_outliers {
+    /// How many more upstreams may be ejected now.
+    fn ejections_left(&self) -> usize {
+        if self.never_ejects {
             return 0;
         }
-        let ejected = self.held.iter().filter(|slot| slot.health.is_ejected());
-        ejections_allowed(self.held.len()).saturating_sub(ejected.count())
+        let ejected = self
+            .upstreams
+            .iter()
+            .filter(|upstream| upstream.health.is_ejected());
+        ejections_allowed(self.upstreams.len()).saturating_sub(ejected.count())
     }
 
-    /// Slots that may be used now, those in use included.
+    /// Slots that may be used now, including those in use.
     #[must_use]
     pub const fn open(&self) -> u32 {
         self.open
     }
 
-    /// Slots that are free.
+    /// Usable slots that are not in use.
     #[must_use]
     pub const fn free(&self) -> u32 {
         self.free
     }
 
-    /// Some upstream takes work, now or after a pause.
+    /// Whether some upstream takes work, now or once its ejection ends.
     #[must_use]
     pub fn any(&self) -> bool {
-        self.held.iter().any(|slot| !slot.state.leaving)
+        self.upstreams
+            .iter()
+            .any(|upstream| !upstream.state.leaving)
     }
 }
 
-impl Slot {
+impl UpstreamSlots {
+    /// Mean ratio of elapsed to expected time of running work, divided by the slowdown that the
+    /// upstream reports. Lower with few running requests; 0 without any.
     fn overdue(&self, now: Instant) -> f64 {
         let (sum, count) = self.overdue;
         if count == 0.0 {
             return 0.0;
         }
-        let disturbance = self.speed.map_or(1.0, |held| held.speed().disturbance(now));
-        sum / count * (count / EVIDENCE).min(1.0) / disturbance
+        let disturbance = self
+            .speed
+            .map_or(1.0, |speed| speed.speed().disturbance(now));
+        sum / count * (count / FULL_EVIDENCE_COUNT).min(1.0) / disturbance
     }
 
-    /// Times slower than its peers for work that starts now.
+    /// Factor by which work that starts now is slower than at its peers.
     fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
         match &self.speed {
             Some(speed) => speed.slowness(now, peers) * self.health.overdue(),
--- a/crates/policy/src/suspect.rs
+++ b/crates/policy/src/suspect.rs
@@ -1,70 +1,69 @@
-//! Which requests are suspected of crashing the upstreams that run them.
+//! Quarantine of requests that are suspected of crashing the upstreams that run them.
 //!
-//! **Load:** one request that crashes each upstream that runs it, retried here
-//! and sent again by its caller to other VMs. **Without it:** each try costs one
-//! more upstream until the service is gone.
+//! A request may crash each upstream that runs it, while it is retried here and sent again by
+//! its caller to other VMs. Without a quarantine each try costs one more upstream, until the
+//! service is down.
 //!
-//! A request is counted once for each upstream whose connection broke while it
-//! was in flight there. Those that merely shared the upstream are counted as
-//! well; an answer clears them. After two losses a request is tried alone, so
-//! that the next loss is its own, and after three it is quarantined.
+//! A request counts one loss for each upstream whose connection broke while the request was in
+//! flight there. Requests that merely shared the upstream are counted as well; an answer clears
+//! them. After two losses a request runs only without other suspects, so that the next loss is
+//! its own; after three it is quarantined.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Losses from which a request runs only by itself. One is what every bystander
-/// of a crash has; two by chance is rare.
+/// Losses from which a request runs only without other suspects. Every request in flight at a
+/// crash has one loss; two by chance are rare.
 pub const ALONE_FROM: u32 = 2;
 
-/// Losses from which a request is not run any more: the users allow three
-/// upstreams in the whole fleet.
+/// Losses from which a request is quarantined: users accept the loss of three upstreams in the
+/// whole fleet.
 pub const QUARANTINE_FROM: u32 = 3;
 
-/// A suspicion ends this long after its last loss: the upstreams may have been
-/// mended meanwhile, and a caller that still resends costs three more at most.
+/// Time from its last loss after which a request is no longer suspected: the upstreams may have
+/// been repaired, and a caller that still resends the request costs at most three more.
 pub const CLEAR_AFTER: Duration = Duration::from_secs(600);
 
-/// Suspects that are kept; the one with the oldest loss goes first. A crash
-/// leaves as many as its upstream had in flight, some hundreds.
+/// Maximum number of suspects; beyond it, the one with the oldest loss is dropped. A crash makes
+/// suspects of all requests in flight at the upstream, some hundreds.
 pub const SUSPECTS: usize = 4_096;
 
-/// A notice counts for so long; the report that follows it has arrived by then.
-const NOTICE_LIFE: Duration = Duration::from_secs(30);
+/// Time for which a notice counts; the regular report of the same losses has arrived by then.
+const NOTICE_VALID_FOR: Duration = Duration::from_secs(30);
 
-/// A request after two losses comes back after this: the counts reach all VMs
-/// meanwhile.
+/// Retry delay of a request with [`ALONE_FROM`] losses: meanwhile the counts reach all VMs.
 pub const SPREAD_TIME: Duration = Duration::from_secs(5);
 
-/// How a request may run.
+/// Restriction under which a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// As any other.
+    /// Without restriction.
     Free,
-    /// With no other suspect beside it, and without a retry.
+    /// With no other suspect at the same time, and without a retry.
     Alone,
-    /// Not at all, for this long.
+    /// Not at all, for this time.
     Quarantined(Duration),
 }
 
-/// Requests in flight as upstreams were lost, here and at other VMs.
+/// Requests that were in flight when upstreams were lost, on this VM and others.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    /// Losses seen here, sorted by fingerprint.
-    own: Vec<Case>,
-    /// Losses that other VMs report, sorted by fingerprint and VM.
+    /// Losses seen on this VM, sorted by fingerprint.
+    own: Vec<Suspect>,
+    /// Losses that other VMs report regularly, sorted by fingerprint and VM.
     others: Vec<Reported>,
-    /// Losses that other VMs told this one of directly, ahead of their reports.
+    /// Losses that other VMs sent at once, ahead of their regular reports, by time of arrival.
     notices: Vec<(Instant, Reported)>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Case {
+struct Suspect {
     fingerprint: u64,
     lost: u32,
     last_loss: Instant,
 }
 
-/// Losses of one request.
+/// Losses of one request, as counted by one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reported {
     /// Hash of the request.
@@ -76,59 +75,60 @@
 }
 
 impl Suspects {
-    /// An upstream was lost while the request was in flight there. Gives the
-    /// losses seen here.
+    /// Records that an upstream was lost while the request was in flight there. Returns the
+    /// losses of the request seen on this VM.
     pub fn lost(&mut self, now: Instant, fingerprint: u64) -> u32 {
-        self.clear(now);
-        match self.position(fingerprint) {
+        self.drop_expired(now);
+        match self.find(fingerprint) {
             Ok(found) => {
-                let case = &mut self.own[found];
-                case.lost += 1;
-                case.last_loss = now;
-                case.lost
+                let suspect = &mut self.own[found];
+                suspect.lost += 1;
+                suspect.last_loss = now;
+                suspect.lost
             }
-            Err(place) => {
-                let case = Case {
+            Err(index) => {
+                let suspect = Suspect {
                     fingerprint,
                     lost: 1,
                     last_loss: now,
                 };
-                self.own.insert(place, case);
+                self.own.insert(index, suspect);
                 self.drop_oldest();
                 1
             }
         }
     }
 
-    /// The request was answered in full: it was a bystander.
+    /// Clears the request after a full answer: it did not cause the losses.
     pub fn answered(&mut self, fingerprint: u64) {
-        if let Ok(found) = self.position(fingerprint) {
+        if let Ok(found) = self.find(fingerprint) {
             self.own.remove(found);
         }
     }
 
-    /// Takes in what other VMs report, in any order.
+    /// Replaces the reports of other VMs; `reports` may be in any order.
     pub fn take_reports(&mut self, mut reports: Vec<Reported>) {
         reports.sort_unstable();
         self.others = reports;
     }
 
-    /// Takes in what another VM tells directly.
+    /// Adds a notice that another VM sent ahead of its report.
     pub fn take_notice(&mut self, now: Instant, notice: Reported) {
-        self.notices.retain(|(told, _)| now < *told + NOTICE_LIFE);
+        self.notices
+            .retain(|(received_at, _)| now < *received_at + NOTICE_VALID_FOR);
         if self.notices.len() < SUSPECTS {
             self.notices.push((now, notice));
         }
     }
 
-    /// How the request may run now.
+    /// Restriction under which the request may run now.
     #[must_use]
     pub fn standing(&self, now: Instant, fingerprint: u64) -> Standing {
-        let own = self.position(fingerprint).ok().map(|found| self.own[found]);
-        let own = own.filter(|case| now < case.last_loss + CLEAR_AFTER);
-        let lost = own.map_or(0, |case| case.lost) + self.lost_elsewhere(now, fingerprint);
+        let own = self.find(fingerprint).ok().map(|found| self.own[found]);
+        let own = own.filter(|suspect| now < suspect.last_loss + CLEAR_AFTER);
+        let lost = own.map_or(0, |suspect| suspect.lost) + self.losses_elsewhere(now, fingerprint);
         if lost >= QUARANTINE_FROM {
-            let until = own.map_or(now, |case| case.last_loss) + CLEAR_AFTER;
+            let until = own.map_or(now, |suspect| suspect.last_loss) + CLEAR_AFTER;
             Standing::Quarantined(until.saturating_duration_since(now))
         } else if lost >= ALONE_FROM {
             Standing::Alone
@@ -137,28 +137,29 @@
         }
     }
 
-    /// What this VM reports to others.
+    /// Reports for other VMs; `node` is the hash of this VM.
     #[must_use]
     pub fn reports(&self, now: Instant, node: u64) -> Vec<Reported> {
         let current = self
             .own
             .iter()
-            .filter(|case| now < case.last_loss + CLEAR_AFTER);
-        let reported = current.map(|case| Reported {
-            fingerprint: case.fingerprint,
+            .filter(|suspect| now < suspect.last_loss + CLEAR_AFTER);
+        let reported = current.map(|suspect| Reported {
+            fingerprint: suspect.fingerprint,
             node,
-            lost: case.lost,
+            lost: suspect.lost,
         });
         reported.collect()
     }
 
-    /// The larger of report and notice for each VM, summed.
-    fn lost_elsewhere(&self, now: Instant, fingerprint: u64) -> u32 {
+    /// Losses on other VMs: the sum over VMs of the larger of report and notice.
+    fn losses_elsewhere(&self, now: Instant, fingerprint: u64) -> u32 {
         let start = self
             .others
             .partition_point(|reported| reported.fingerprint < fingerprint);
         let reported = self.others[start..].iter().copied();
-        let current = |(told, _): &&(Instant, Reported)| now < *told + NOTICE_LIFE;
+        let current =
+            |(received_at, _): &&(Instant, Reported)| now < *received_at + NOTICE_VALID_FOR;
         let noticed = self
             .notices
             .iter()
@@ -173,21 +174,22 @@
         counts.iter().map(|count| count.lost).sum()
     }
 
-    fn position(&self, fingerprint: u64) -> Result<usize, usize> {
+    fn find(&self, fingerprint: u64) -> Result<usize, usize> {
         self.own
-            .binary_search_by_key(&fingerprint, |case| case.fingerprint)
+            .binary_search_by_key(&fingerprint, |suspect| suspect.fingerprint)
     }
 
-    fn clear(&mut self, now: Instant) {
-        self.own.retain(|case| now < case.last_loss + CLEAR_AFTER);
+    fn drop_expired(&mut self, now: Instant) {
+        self.own
+            .retain(|suspect| now < suspect.last_loss + CLEAR_AFTER);
     }
 
     fn drop_oldest(&mut self) {
         if self.own.len() <= SUSPECTS {
             return;
         }
-        let cases = self.own.iter().enumerate();
-        let oldest = cases.min_by_key(|(_, case)| case.last_loss);
+        let suspects = self.own.iter().enumerate();
+        let oldest = suspects.min_by_key(|(_, suspect)| suspect.last_loss);
         if let Some((index, _)) = oldest {
             self.own.remove(index);
         }
