--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates nodes that share a few upstreams, without a network: each node has its own
 //! dispatcher, upstreams queue and refuse calls, and time advances in steps.
 
-mod got;
+mod call_stats;
 mod upstream;
 
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 use firweir_policy::work::Work;
 use firweir_policy::work::WorkKey;
 
-pub use got::Got;
+pub use call_stats::Got;
 use upstream::SLOTS;
 use upstream::Upstream;
 
--- a/crates/policy/tests/shared_support/upstream.rs
+++ b/crates/policy/tests/shared_support/upstream.rs
@@ -8,8 +8,8 @@
 use firweir_policy::work::WorkKey;
 
 pub const SLOTS: usize = 6;
-const QUEUE: usize = 24;
-const WORK: Duration = Duration::from_millis(25);
+const MAX_QUEUED: usize = 24;
+const SERVICE_TIME: Duration = Duration::from_millis(25);
 
 pub struct Running {
     work: WorkKey,
@@ -36,7 +36,7 @@
     /// Runs or queues the call; false if the queue is full.
     pub fn arrive(&mut self, now: Instant, work: WorkKey) -> bool {
         self.arrivals += 1;
-        if self.running.len() >= SLOTS && self.waiting.len() >= QUEUE {
+        if self.running.len() >= SLOTS && self.waiting.len() >= MAX_QUEUED {
             return false;
         }
         self.waiting.push_back(work);
@@ -63,7 +63,7 @@
             let Some(work) = self.waiting.pop_front() else {
                 return;
             };
-            let ends = now + WORK * self.slow_factor;
+            let ends = now + SERVICE_TIME * self.slow_factor;
             self.running.push(Running { work, ends });
         }
     }
