--- a/crates/policy/src/answering.rs
+++ b/crates/policy/src/answering.rs
@@ -16,7 +16,7 @@
 
 /// Fraction of the maximum wait for which a poll is held. The rest is for the way back through
 /// the node that received it.
-const HELD_PART: f64 = 0.85;
+const HOLD_FRACTION: f64 = 0.85;
 
 /// Time after a step's due time at which an open poll is answered with the results so far. A
 /// trainer that polls every half second may read them as late as this.
@@ -46,12 +46,15 @@
         if self.whole_groups >= self.target_groups {
             return Duration::ZERO;
         }
-        let most = self.may_wait.mul_f64(HELD_PART).saturating_sub(self.waited);
+        let max_hold = self
+            .may_wait
+            .mul_f64(HOLD_FRACTION)
+            .saturating_sub(self.waited);
         let answer_at = self.due + ANSWER_AFTER_DUE;
-        let asked_at = self.age.saturating_sub(self.waited);
-        if asked_at >= answer_at {
-            return most;
+        let polled_at = self.age.saturating_sub(self.waited);
+        if polled_at >= answer_at {
+            return max_hold;
         }
-        most.min(answer_at.saturating_sub(self.age))
+        max_hold.min(answer_at.saturating_sub(self.age))
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -32,13 +32,13 @@
 
 /// Fraction of the slots that training gets under any live load. A trainer without samples for
 /// an hour leaves its model stale for days.
-const TRAINING_FLOOR: f64 = 0.1;
+const TRAINING_FLOOR_FRACTION: f64 = 0.1;
 
 /// A live call is long if its cost is at least this many doublings above the usual one.
-const LONG_DOUBLINGS: f64 = 2.0;
+const LONG_CALL_DOUBLINGS: f64 = 2.0;
 
 /// Smoothing factor of the usual cost; it averages about a hundred calls.
-const USUAL_STEP: f64 = 0.01;
+const USUAL_COST_SMOOTHING: f64 = 0.01;
 
 #[derive(Debug, Clone, Copy)]
 struct Running {
@@ -46,7 +46,7 @@
     upstream: UpstreamKey,
     kind: Kind,
     cost_tokens: u32,
-    since: Instant,
+    started_at: Instant,
     deadline: Instant,
 }
 
@@ -59,7 +59,7 @@
     /// Sorted by work key.
     running: Vec<Running>,
     /// Base-2 logarithm of the usual cost of live work, in tokens.
-    usual_doublings: Option<f64>,
+    usual_cost_log2: Option<f64>,
     decisions: VecDeque<Decision>,
     /// Occupancy of upstreams that other nodes call as well; `None` if the upstreams are not
     /// shared.
@@ -82,7 +82,7 @@
             limit: Limit::default(),
             lanes: KINDS.map(Lane::new),
             running: Vec::new(),
-            usual_doublings: None,
+            usual_cost_log2: None,
             decisions: VecDeque::new(),
             occupancy: None,
             upstreams: Vec::new(),
@@ -110,17 +110,17 @@
         if work.class == Class::Training {
             return Kind::Training;
         }
-        let doublings = f64::from(work.cost_tokens.max(1)).log2();
-        let usual = self.usual_doublings.get_or_insert(doublings);
-        let long = doublings >= *usual + LONG_DOUBLINGS;
-        *usual += (doublings - *usual) * USUAL_STEP;
+        let cost_log2 = f64::from(work.cost_tokens.max(1)).log2();
+        let usual = self.usual_cost_log2.get_or_insert(cost_log2);
+        let long = cost_log2 >= *usual + LONG_CALL_DOUBLINGS;
+        *usual += (cost_log2 - *usual) * USUAL_COST_SMOOTHING;
         if long { Kind::Long } else { Kind::Short }
     }
 
     /// Slots reserved for training while there is training work.
     fn training_floor(&self) -> u32 {
         let wanted = self.lane(Kind::Training).reserve.mean().ceil() as u32;
-        let floor = (f64::from(self.slots.open()) * TRAINING_FLOOR) as u32;
+        let floor = (f64::from(self.slots.open()) * TRAINING_FLOOR_FRACTION) as u32;
         floor.min(wanted)
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Free slots that this kind may not use, since they are reserved for the others.
-    fn kept_from(&self, kind: Kind) -> u32 {
+    fn reserved_for_others(&self, kind: Kind) -> u32 {
         let unused = |kind: Kind| {
             self.reserved(kind)
                 .saturating_sub(self.lane(kind).in_flight)
@@ -155,7 +155,7 @@
     }
 
     fn has_room(&self, kind: Kind) -> bool {
-        self.slots.free() > self.kept_from(kind)
+        self.slots.free() > self.reserved_for_others(kind)
     }
 
     /// Slots that serve the queue of this kind.
@@ -189,18 +189,18 @@
     }
 
     fn start_waiting(&mut self, now: Instant) {
-        self.look_at_room(now);
+        self.update_closed_upstreams(now);
         let mut blocked = Vec::new();
         while let Some(kind) = self.next_kind(&blocked) {
             let front = self.lane(kind).queue.front();
-            let place = front.and_then(|queued| {
+            let chosen = front.and_then(|queued| {
                 let work = &queued.work;
                 match kind {
                     Kind::Training => self.slots.pick_even(now, work.prefix, &work.avoid),
                     Kind::Short | Kind::Long => self.slots.pick(now, work.prefix, &work.avoid),
                 }
             });
-            match place {
+            match chosen {
                 Some(upstream) => self.start(now, kind, upstream),
                 None => blocked.push(kind),
             }
@@ -219,16 +219,16 @@
 
     fn start_work(&mut self, now: Instant, kind: Kind, upstream: UpstreamKey, work: &Work) {
         self.slots.take(upstream);
-        self.take_room(now, upstream);
+        self.record_start(now, upstream);
         let running = Running {
             work: work.key,
             upstream,
             kind,
             cost_tokens: work.cost_tokens,
-            since: now,
+            started_at: now,
             deadline: work.deadline,
         };
-        let at = self.running.partition_point(|held| held.work < work.key);
+        let at = self.running.partition_point(|other| other.work < work.key);
         self.running.insert(at, running);
         self.decisions.push_back(Decision::Start {
             work: work.key,
@@ -248,14 +248,14 @@
 
     /// Reports how long running work has taken so far, so that a slow upstream is detected
     /// before its answers arrive.
-    fn look_at_running(&mut self, now: Instant) {
+    fn report_overdue_work(&mut self, now: Instant) {
         for running in &self.running {
             let estimate = &self.lanes[running.kind as usize].estimate;
             if !estimate.is_trusted() {
                 continue;
             }
             let expected = estimate.tokens(u64::from(running.cost_tokens.max(1)));
-            let elapsed = now.duration_since(running.since);
+            let elapsed = now.duration_since(running.started_at);
             let ratio = elapsed.as_secs_f64() / expected.as_secs_f64().max(1e-6);
             self.slots.note_overdue(running.upstream, ratio);
         }
@@ -307,7 +307,7 @@
         if !self.slots.any() {
             return self.refuse(now, kind, work.key, Refusal::NoUpstream);
         }
-        self.look_at_room(now);
+        self.update_closed_upstreams(now);
         self.queue(now, kind, work);
         self.start_waiting(now);
     }
@@ -320,7 +320,10 @@
     }
 
     fn finish(&mut self, now: Instant, work: WorkKey, finish: &Finish) {
-        let Ok(at) = self.running.binary_search_by_key(&work, |held| held.work) else {
+        let Ok(at) = self
+            .running
+            .binary_search_by_key(&work, |running| running.work)
+        else {
             return;
         };
         let ended = self.running.remove(at);
@@ -329,10 +332,10 @@
         if finish.ending == Ending::Answered {
             lane.estimate.learn(ended.cost_tokens, finish.elapsed);
         }
-        let is_vain = matches!(finish.ending, Ending::Abandoned | Ending::Refused);
-        let expired = is_vain && now >= ended.deadline;
+        let is_unanswered = matches!(finish.ending, Ending::Abandoned | Ending::Refused);
+        let expired = is_unanswered && now >= ended.deadline;
         if ended.kind != Kind::Training && (expired || finish.ending == Ending::Answered) {
-            let patience = ended.deadline.saturating_duration_since(ended.since);
+            let patience = ended.deadline.saturating_duration_since(ended.started_at);
             self.limit.ended(finish.elapsed, patience);
         }
         if let Some(load) = finish.told {
@@ -359,7 +362,7 @@
             lane.tick(now);
         }
         self.limit.tick(now);
-        self.look_at_running(now);
+        self.report_overdue_work(now);
         self.slots.compare(now);
         self.slots.refresh(now, &self.limit);
         self.refuse_late(now);
@@ -367,7 +370,7 @@
     }
 
     fn set_shared(&mut self, now: Instant, shared: Option<u64>) {
-        self.follow_room(now, shared);
+        self.track_occupancy(now, shared);
     }
 
     fn next_look(&self, now: Instant) -> Option<Instant> {
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -24,7 +24,7 @@
     }
 
     /// Closes upstreams that likely have no capacity for a call, and opens the others.
-    pub(super) fn look_at_room(&mut self, now: Instant) {
+    pub(super) fn update_closed_upstreams(&mut self, now: Instant) {
         if let Some(occupancy) = &self.occupancy {
             for key in occupancy.keys() {
                 self.slots.set_closed(key, !occupancy.has_room(now, key));
@@ -41,7 +41,7 @@
     }
 
     /// Records that work starts at this upstream, and closes the upstream if it is full now.
-    pub(super) fn take_room(&mut self, now: Instant, upstream: UpstreamKey) {
+    pub(super) fn record_start(&mut self, now: Instant, upstream: UpstreamKey) {
         if let Some(occupancy) = &mut self.occupancy {
             occupancy.started(now, upstream);
             let is_closed = !occupancy.has_room(now, upstream);
@@ -74,12 +74,12 @@
             for work in self.lane_mut(kind).take_late(now, opens_in) {
                 self.refuse(now, kind, work.key, Refusal::Late);
             }
-            self.refuse_held(now, kind);
+            self.refuse_overlong_waits(now, kind);
         }
     }
 
     /// Refuses work that has waited too long while the upstreams are congested.
-    pub(super) fn refuse_held(&mut self, now: Instant, kind: Kind) {
+    pub(super) fn refuse_overlong_waits(&mut self, now: Instant, kind: Kind) {
         if self.occupancy.as_ref().is_some_and(Occupancy::is_congested) {
             for work in self.lane_mut(kind).take_held(now) {
                 self.refuse(now, kind, work.key, Refusal::Saturated);
@@ -89,7 +89,7 @@
 
     /// Starts to estimate the capacity left at shared upstreams, with this random seed. `None`
     /// ends it: the node then uses all slots as its own.
-    pub(super) fn follow_room(&mut self, now: Instant, shared: Option<u64>) {
+    pub(super) fn track_occupancy(&mut self, now: Instant, shared: Option<u64>) {
         if shared.is_some() == self.occupancy.is_some() {
             return;
         }
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -11,17 +11,17 @@
 
 /// Smoothing factor of the means. They average fifty pieces of work, a few seconds at the
 /// smallest loads, so that one straggler changes them little.
-const STEP: f64 = 0.02;
+const SMOOTHING: f64 = 0.02;
 
 /// Number of answers from which the means are trusted.
-const TRUSTED_AFTER: u32 = 8;
+const TRUSTED_AFTER_ANSWERS: u32 = 8;
 
 /// Moving means of the time per estimated token and per piece of work.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Estimate {
     us_per_token: f64,
     us_per_work: f64,
-    seen: u32,
+    count: u32,
 }
 
 impl Estimate {
@@ -29,16 +29,16 @@
     pub fn learn(&mut self, cost_tokens: u32, elapsed: Duration) {
         let us = elapsed.as_secs_f64() * 1e6;
         let us_per_token = us / f64::from(cost_tokens.max(1));
-        self.seen = self.seen.saturating_add(1);
-        let step = STEP.max(1.0 / f64::from(self.seen));
-        self.us_per_token += (us_per_token - self.us_per_token) * step;
-        self.us_per_work += (us - self.us_per_work) * step;
+        self.count = self.count.saturating_add(1);
+        let smoothing = SMOOTHING.max(1.0 / f64::from(self.count));
+        self.us_per_token += (us_per_token - self.us_per_token) * smoothing;
+        self.us_per_work += (us - self.us_per_work) * smoothing;
     }
 
     /// Whether enough work has ended to base refusals on the estimate.
     #[must_use]
     pub const fn is_trusted(&self) -> bool {
-        self.seen >= TRUSTED_AFTER
+        self.count >= TRUSTED_AFTER_ANSWERS
     }
 
     /// Expected time of this work; zero while nothing is known.
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -13,7 +13,7 @@
 use crate::work::WorkKey;
 
 /// Least cost of one piece of work, also if it has no estimate.
-const LEAST_COST_TOKENS: u64 = 1;
+const MIN_COST_TOKENS: u64 = 1;
 
 /// Virtual start time of work, in tokens. It orders the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 struct Caller {
     hash: u64,
     /// Virtual time at which all its work so far would have ended, in tokens.
-    end: u64,
+    virtual_end: u64,
     queued: u32,
 }
 
@@ -47,7 +47,7 @@
     queued: BTreeMap<(Tag, WorkKey), Queued>,
     /// Sorted by hash.
     callers: Vec<Caller>,
-    active_callers: u64,
+    callers_with_work: u64,
     virtual_now: u64,
     cost_tokens: u64,
 }
@@ -56,8 +56,11 @@
     /// Start tag that work of this caller would get now.
     #[must_use]
     pub fn tag_of(&self, caller: u64) -> Tag {
-        let end = self.position(caller).ok().map(|at| self.callers[at].end);
-        Tag(self.virtual_now.max(end.unwrap_or(0)))
+        let virtual_end = self
+            .caller_index(caller)
+            .ok()
+            .map(|at| self.callers[at].virtual_end);
+        Tag(self.virtual_now.max(virtual_end.unwrap_or(0)))
     }
 
     /// Tokens of work that would be served before work with this tag.
@@ -68,7 +71,7 @@
         let advance = tag.0 - self.virtual_now.min(tag.0);
         let fair = advance
             .saturating_add(1)
-            .saturating_mul(self.active_callers);
+            .saturating_mul(self.callers_with_work);
         self.cost_tokens.min(fair)
     }
 
@@ -76,18 +79,18 @@
     pub fn push(&mut self, now: Instant, work: Work) {
         let tag = self.tag_of(work.caller);
         let cost = cost_of(&work);
-        let at = self.position(work.caller).unwrap_or_else(|at| {
+        let at = self.caller_index(work.caller).unwrap_or_else(|at| {
             let caller = Caller {
                 hash: work.caller,
-                end: 0,
+                virtual_end: 0,
                 queued: 0,
             };
             self.callers.insert(at, caller);
             at
         });
         let caller = &mut self.callers[at];
-        caller.end = tag.0 + cost;
-        self.active_callers += u64::from(caller.queued == 0);
+        caller.virtual_end = tag.0 + cost;
+        self.callers_with_work += u64::from(caller.queued == 0);
         caller.queued += 1;
         self.cost_tokens += cost;
         self.queued
@@ -104,7 +107,7 @@
     pub fn pop(&mut self) -> Option<Queued> {
         let ((tag, _), queued) = self.queued.pop_first()?;
         self.virtual_now = self.virtual_now.max(tag.0);
-        self.forget(&queued.work);
+        self.subtract_from_totals(&queued.work);
         Some(queued)
     }
 
@@ -115,39 +118,39 @@
             return None;
         }
         let work = last.remove().work;
-        self.take_back(&work);
+        self.refund(&work);
         Some(work)
     }
 
     /// Removes the work that would be served last.
     pub fn pop_last(&mut self) -> Option<Work> {
         let work = self.queued.pop_last()?.1.work;
-        self.take_back(&work);
+        self.refund(&work);
         Some(work)
     }
 
     /// Removes work that was cancelled.
     pub fn remove(&mut self, key: WorkKey) {
         let found = self.queued.keys().find(|(_, queued)| *queued == key);
-        if let Some(place) = found.copied()
-            && let Some(queued) = self.queued.remove(&place)
+        if let Some(queue_key) = found.copied()
+            && let Some(queued) = self.queued.remove(&queue_key)
         {
-            self.take_back(&queued.work);
+            self.refund(&queued.work);
         }
     }
 
     /// Removes all work for which `is_late` is true.
     pub fn take_late(&mut self, is_late: impl Fn(&Queued) -> bool) -> Vec<Work> {
-        let places: Vec<(Tag, WorkKey)> = self
+        let keys: Vec<(Tag, WorkKey)> = self
             .queued
             .iter()
             .filter(|(_, queued)| is_late(queued))
-            .map(|(place, _)| *place)
+            .map(|(queue_key, _)| *queue_key)
             .collect();
-        let mut taken = Vec::with_capacity(places.len());
-        for place in places {
-            if let Some(queued) = self.queued.remove(&place) {
-                self.take_back(&queued.work);
+        let mut taken = Vec::with_capacity(keys.len());
+        for queue_key in keys {
+            if let Some(queued) = self.queued.remove(&queue_key) {
+                self.refund(&queued.work);
                 taken.push(queued.work);
             }
         }
@@ -158,7 +161,7 @@
     pub fn forget_idle_callers(&mut self) {
         let now = self.virtual_now;
         self.callers
-            .retain(|caller| caller.queued > 0 || caller.end > now);
+            .retain(|caller| caller.queued > 0 || caller.virtual_end > now);
         if self.queued.is_empty() {
             self.callers.clear();
         }
@@ -176,28 +179,29 @@
         self.queued.is_empty()
     }
 
-    fn position(&self, caller: u64) -> Result<usize, usize> {
-        self.callers.binary_search_by_key(&caller, |held| held.hash)
+    fn caller_index(&self, caller: u64) -> Result<usize, usize> {
+        self.callers
+            .binary_search_by_key(&caller, |other| other.hash)
     }
 
-    fn forget(&mut self, work: &Work) {
+    fn subtract_from_totals(&mut self, work: &Work) {
         self.cost_tokens -= cost_of(work);
-        if let Ok(at) = self.position(work.caller) {
+        if let Ok(at) = self.caller_index(work.caller) {
             self.callers[at].queued -= 1;
-            self.active_callers -= u64::from(self.callers[at].queued == 0);
+            self.callers_with_work -= u64::from(self.callers[at].queued == 0);
         }
     }
 
     /// Removes unserved work from the sums, and does not charge its caller for it.
-    fn take_back(&mut self, work: &Work) {
-        self.forget(work);
-        if let Ok(at) = self.position(work.caller) {
+    fn refund(&mut self, work: &Work) {
+        self.subtract_from_totals(work);
+        if let Ok(at) = self.caller_index(work.caller) {
             let caller = &mut self.callers[at];
-            caller.end = caller.end.saturating_sub(cost_of(work));
+            caller.virtual_end = caller.virtual_end.saturating_sub(cost_of(work));
         }
     }
 }
 
 fn cost_of(work: &Work) -> u64 {
-    u64::from(work.cost_tokens).max(LEAST_COST_TOKENS)
+    u64::from(work.cost_tokens).max(MIN_COST_TOKENS)
 }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -32,49 +32,49 @@
 
 /// Live work is admitted if this fraction of its expected time is left. Most answers are
 /// shorter than the mean, which a few long ones raise.
-const TIME_NEEDED_LIVE: f64 = 0.5;
+const LIVE_TIME_FACTOR: f64 = 0.5;
 
 /// A training sample is admitted if this multiple of its expected time is left. A sample that
 /// is abandoned halfway wastes engine time, and it can wait elsewhere.
-const TIME_NEEDED_TRAINING: f64 = 2.0;
+const TRAINING_TIME_FACTOR: f64 = 2.0;
 
 /// A queue that was not empty for this many mean service times is standing: a burst that can
 /// meet its deadlines is served within two.
-const STANDING_AFTER: f64 = 2.0;
+const STANDING_AFTER_SERVICE_TIMES: f64 = 2.0;
 
 /// Shortest time after which a queue is standing. Two short service times are less than the
 /// usual gaps between arrivals.
-const STANDING_AT_LEAST: Duration = Duration::from_millis(500);
+const MIN_STANDING_AFTER: Duration = Duration::from_millis(500);
 
 /// Longest admitted wait in a standing queue, in mean service times. It keeps the slots busy
 /// and delays an answer by at most half its own time.
-const STANDING_WAIT: f64 = 0.5;
+const STANDING_WAIT_SERVICE_TIMES: f64 = 0.5;
 
 /// Maximum queued work per slot. It bounds the queue while service times are unknown.
-const QUEUE_PER_SLOT: usize = 4;
+const MAX_QUEUED_PER_SLOT: usize = 4;
 
 /// Queued work that is allowed for any number of slots.
-const QUEUE_LEAST: usize = 16;
+const MIN_QUEUE_LIMIT: usize = 16;
 
 /// Bounds of the retry delay for refused callers.
-const RETRY_AFTER_LEAST: Duration = Duration::from_millis(500);
-const RETRY_AFTER_MOST: Duration = Duration::from_secs(20);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(20);
 
 /// Shortest retry delay for refused callers of a shared service. It is short since the queue
 /// length is known from reports and calls are short.
-const SHARED_RETRY_AFTER_LEAST: Duration = Duration::from_millis(20);
+const MIN_SHARED_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Longest expected wait of admitted work while shared upstreams are congested, in mean call
 /// times. Longer waits make every call late, whereas a retry may arrive after the burst.
-const CONGESTED_WAIT: f64 = 1.0;
+const CONGESTED_ADMIT_CALL_TIMES: f64 = 1.0;
 
 /// Longest wait of queued work without a latency objective during congestion, in mean call
 /// times. Work that has waited longer is refused.
-const CONGESTED_HELD: f64 = 0.5;
+const CONGESTED_QUEUE_CALL_TIMES: f64 = 0.5;
 
 /// Fraction of the latency objective that the wait and the expected call time may use. The rest
 /// covers the variation of call times.
-const OBJECTIVE_PART: f64 = 0.7;
+const OBJECTIVE_FRACTION: f64 = 0.7;
 
 /// Decay factor, per offered work, of the usual time from offer to deadline.
 const PATIENCE_DECAY: f64 = 0.999;
@@ -113,7 +113,7 @@
     }
 
     /// Number of slots, rounded up.
-    fn whole(self) -> usize {
+    fn rounded_up(self) -> usize {
         match self {
             Self::Own(slots) => slots as usize,
             Self::Shared(thousandths) => (thousandths as usize).div_ceil(1_000),
@@ -167,7 +167,7 @@
     pub fn admit(&self, now: Instant, work: &Work, serving: Serving) -> Result<Place, Refusal> {
         let place = self.queue.place_of(work);
         let left = work.deadline.saturating_duration_since(now);
-        let needed = self.estimate.service(work).mul_f64(self.time_needed());
+        let needed = self.estimate.service(work).mul_f64(self.time_factor());
         let trusted = self.estimate.is_trusted();
         if left.is_zero() || (trusted && left < needed) {
             return Err(Refusal::Late);
@@ -179,7 +179,8 @@
         if wait + needed > left {
             return Err(Refusal::Late);
         }
-        if self.is_standing(now) && wait > self.estimate.mean().mul_f64(STANDING_WAIT) {
+        if self.is_standing(now) && wait > self.estimate.mean().mul_f64(STANDING_WAIT_SERVICE_TIMES)
+        {
             return Err(Refusal::Saturated);
         }
         Ok(place)
@@ -196,7 +197,7 @@
     pub fn admit_shared(&self, now: Instant, work: &Work, room: Room) -> Result<Place, Refusal> {
         let place = self.queue.place_of(work);
         let left = work.deadline.saturating_duration_since(now);
-        let needed = self.estimate.service(work).mul_f64(self.time_needed());
+        let needed = self.estimate.service(work).mul_f64(self.time_factor());
         let ahead = self.estimate.tokens(self.queue.ahead_tokens(place));
         let wait = room.opens_in + room.serving.wait(ahead);
         if left.is_zero() || wait + needed > left {
@@ -211,7 +212,7 @@
         if room.is_congested && self.queue.is_ahead(work, room.is_free) {
             return Err(Refusal::Saturated);
         }
-        let is_long = wait > self.longest_wait(work, CONGESTED_WAIT);
+        let is_long = wait > self.longest_wait(work, CONGESTED_ADMIT_CALL_TIMES);
         if (room.is_congested || self.is_standing(now)) && is_long {
             return Err(Refusal::Saturated);
         }
@@ -230,30 +231,30 @@
     /// Whether the queue has reached its maximum length.
     #[must_use]
     pub fn is_full(&self, serving: Serving) -> bool {
-        self.queue.len() >= QUEUE_LEAST + serving.whole() * QUEUE_PER_SLOT
+        self.queue.len() >= MIN_QUEUE_LIMIT + serving.rounded_up() * MAX_QUEUED_PER_SLOT
     }
 
     /// Time after which refused work may be retried: the expected time for the queue to drain.
     /// For shared upstreams, `opens_in` (the time until any work may start) is added.
     #[must_use]
     pub fn retry_after(&self, serving: Serving, opens_in: Duration) -> Duration {
-        let whole = self.queue.ahead_tokens(Place::LAST);
+        let queued_tokens = self.queue.ahead_tokens(Place::LAST);
         if serving.is_shared() {
             // Another call can start once the queue has drained and one more slot is free.
-            let free = serving.wait(self.estimate.tokens(whole.saturating_add(1)));
-            return (opens_in + free).clamp(SHARED_RETRY_AFTER_LEAST, RETRY_AFTER_MOST);
+            let free = serving.wait(self.estimate.tokens(queued_tokens.saturating_add(1)));
+            return (opens_in + free).clamp(MIN_SHARED_RETRY_AFTER, MAX_RETRY_AFTER);
         }
-        let drained = serving.wait(self.estimate.tokens(whole));
-        drained.clamp(RETRY_AFTER_LEAST, RETRY_AFTER_MOST)
+        let drained = serving.wait(self.estimate.tokens(queued_tokens));
+        drained.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Removes work that can no longer end in time, given that none starts before `opens_in`
     /// has passed.
     pub fn take_late(&mut self, now: Instant, opens_in: Duration) -> Vec<Work> {
         let estimate = self.estimate;
-        let time_needed = self.time_needed();
+        let time_factor = self.time_factor();
         self.queue.take_late(|queued| {
-            let needed = estimate.service(&queued.work).mul_f64(time_needed);
+            let needed = estimate.service(&queued.work).mul_f64(time_factor);
             queued.work.deadline < now + opens_in + needed
         })
     }
@@ -265,8 +266,8 @@
         }
         let estimate = self.estimate;
         self.queue.take_late(|queued| {
-            let most = longest_wait(&estimate, &queued.work, CONGESTED_HELD);
-            queued.since + most < now
+            let max_wait = longest_wait(&estimate, &queued.work, CONGESTED_QUEUE_CALL_TIMES);
+            queued.since + max_wait < now
         })
     }
 
@@ -290,10 +291,10 @@
         }
     }
 
-    const fn time_needed(&self) -> f64 {
+    const fn time_factor(&self) -> f64 {
         match self.kind {
-            Kind::Short | Kind::Long => TIME_NEEDED_LIVE,
-            Kind::Training => TIME_NEEDED_TRAINING,
+            Kind::Short | Kind::Long => LIVE_TIME_FACTOR,
+            Kind::Training => TRAINING_TIME_FACTOR,
         }
     }
 
@@ -304,16 +305,16 @@
         if self.kind == Kind::Training {
             return false;
         }
-        let long = self.estimate.mean().mul_f64(STANDING_AFTER);
-        let long = long.max(STANDING_AT_LEAST);
+        let standing_after = self.estimate.mean().mul_f64(STANDING_AFTER_SERVICE_TIMES);
+        let standing_after = standing_after.max(MIN_STANDING_AFTER);
         self.waiting_since
-            .is_some_and(|since| now.duration_since(since) >= long)
+            .is_some_and(|since| now.duration_since(since) >= standing_after)
     }
 }
 
 /// Longest wait during congestion. Work may wait for `call_times` mean call times, or longer if
-/// it can still end within [`OBJECTIVE_PART`] of its latency objective. Work whose objective has
-/// already passed may not wait.
+/// it can still end within [`OBJECTIVE_FRACTION`] of its latency objective. Work whose objective
+/// has already passed may not wait.
 fn longest_wait(estimate: &Estimate, work: &Work, call_times: f64) -> Duration {
     let short = estimate.mean().mul_f64(call_times);
     let Some(objective) = work.objective else {
@@ -322,6 +323,6 @@
     if objective.is_zero() {
         return Duration::ZERO;
     }
-    let bounded = objective.mul_f64(OBJECTIVE_PART);
+    let bounded = objective.mul_f64(OBJECTIVE_FRACTION);
     short.max(bounded.saturating_sub(estimate.service(work)))
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -10,43 +10,43 @@
 use std::time::Instant;
 
 /// An answer is nearly late if it takes more than this fraction of the time to its deadline.
-const NEARLY_LATE: f64 = 0.8;
+const NEARLY_LATE_FRACTION: f64 = 0.8;
 
 /// Fraction of nearly late answers above which the limit is cut: four times the fraction of
 /// answers that may be late.
-const TOO_MANY: f64 = 0.02;
+const MAX_NEARLY_LATE_FRACTION: f64 = 0.02;
 
 /// Time between two adjustments. A cut takes effect after about one service time.
-const EVERY: Duration = Duration::from_secs(2);
+const ADJUST_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Number of answers that a cut needs. Fewer are carried over to the next adjustment.
-const ANSWERS: u32 = 20;
+const MIN_ANSWERS: u32 = 20;
 
 /// Factor of a cut.
-const CUT: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 
 /// Fraction of the configured limit that is added if few answers are nearly late.
-const RAISE: f64 = 0.03;
+const INCREASE_FRACTION: f64 = 0.03;
 
 /// Smallest fraction of the configured limit. Live work alone has to fit into it.
-const LEAST: f64 = 0.2;
+const MIN_FRACTION: f64 = 0.2;
 
 /// Fraction of the configured limit that is in use.
 #[derive(Debug, Clone, Copy)]
 pub struct Limit {
-    part: f64,
+    fraction: f64,
     answers: u32,
     nearly_late: u32,
-    judged: Option<Instant>,
+    adjusted_at: Option<Instant>,
 }
 
 impl Default for Limit {
     fn default() -> Self {
         Self {
-            part: 1.0,
+            fraction: 1.0,
             answers: 0,
             nearly_late: 0,
-            judged: None,
+            adjusted_at: None,
         }
     }
 }
@@ -55,24 +55,24 @@
     /// Records a live call that took `elapsed` and had `patience` until its deadline.
     pub fn ended(&mut self, elapsed: Duration, patience: Duration) {
         self.answers += 1;
-        let late = elapsed.as_secs_f64() > patience.as_secs_f64() * NEARLY_LATE;
+        let late = elapsed.as_secs_f64() > patience.as_secs_f64() * NEARLY_LATE_FRACTION;
         self.nearly_late += u32::from(late);
     }
 
     /// Adjusts the limit by the answers since the last adjustment, if it is due.
     pub fn tick(&mut self, now: Instant) {
-        let judged = *self.judged.get_or_insert(now);
-        if now.duration_since(judged) < EVERY {
+        let adjusted_at = *self.adjusted_at.get_or_insert(now);
+        if now.duration_since(adjusted_at) < ADJUST_INTERVAL {
             return;
         }
-        self.judged = Some(now);
-        let late = f64::from(self.nearly_late) > f64::from(self.answers) * TOO_MANY;
-        if late && self.answers >= ANSWERS {
-            self.part = (self.part * CUT).max(LEAST);
+        self.adjusted_at = Some(now);
+        let late = f64::from(self.nearly_late) > f64::from(self.answers) * MAX_NEARLY_LATE_FRACTION;
+        if late && self.answers >= MIN_ANSWERS {
+            self.fraction = (self.fraction * DECREASE_FACTOR).max(MIN_FRACTION);
         } else if !late {
-            self.part = (self.part + RAISE).min(1.0);
+            self.fraction = (self.fraction + INCREASE_FRACTION).min(1.0);
         }
-        if !late || self.answers >= ANSWERS {
+        if !late || self.answers >= MIN_ANSWERS {
             self.answers = 0;
             self.nearly_late = 0;
         }
@@ -81,6 +81,6 @@
     /// The limit in use, given the configured one.
     #[must_use]
     pub fn of(&self, configured: f64) -> f64 {
-        configured * self.part
+        configured * self.fraction
     }
 }
--- a/crates/policy/src/recurring.rs
+++ b/crates/policy/src/recurring.rs
@@ -13,11 +13,11 @@
 const PAUSE_FACTOR: u32 = 20;
 
 /// Longest pause. A run that was long because the VM was frozen does not predict the next one.
-const PAUSE_MOST: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// Pause after work that took this long; at least `least`.
+/// Pause after work that took this long; at least `min_pause`.
 #[must_use]
-pub fn pause_after(took: Duration, least: Duration) -> Duration {
-    let by_share = took.saturating_mul(PAUSE_FACTOR).min(PAUSE_MOST);
-    by_share.max(least)
+pub fn pause_after(took: Duration, min_pause: Duration) -> Duration {
+    let proportional = took.saturating_mul(PAUSE_FACTOR).min(MAX_PAUSE);
+    proportional.max(min_pause)
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -9,7 +9,7 @@
 
 /// Smoothing factor of the mean per tick; it averages about three seconds. A faster mean would
 /// follow the peaks of ordinary variation, which [`DEVIATIONS`] already covers.
-const STEP: f64 = 0.03;
+const SMOOTHING: f64 = 0.03;
 
 /// Standard deviations to reserve if no slot becomes free soon. The standard deviation of the
 /// concurrency of independent calls is the square root of its mean; 1.5 of them cover nine
@@ -18,7 +18,7 @@
 
 /// Wait for a slot, in service times of the waiting work, from which all [`DEVIATIONS`] are
 /// reserved. The margin is proportionally smaller for a shorter wait.
-const LONG_WAIT: f64 = 0.5;
+const LONG_WAIT_SERVICE_TIMES: f64 = 0.5;
 
 /// Moving mean of the concurrency of one kind of work.
 #[derive(Debug, Clone, Copy, Default)]
@@ -30,7 +30,7 @@
     /// Records how much work runs and waits; called once per tick.
     pub fn look(&mut self, running_and_waiting: u32) {
         let seen = f64::from(running_and_waiting);
-        self.mean += (seen - self.mean) * STEP;
+        self.mean += (seen - self.mean) * SMOOTHING;
     }
 
     /// Mean concurrency of this work, in slots.
@@ -43,7 +43,7 @@
     /// next slot after `wait` service times of this work.
     #[must_use]
     pub fn slots(&self, wait: f64) -> u32 {
-        let deviations = DEVIATIONS * (wait / LONG_WAIT).min(1.0);
+        let deviations = DEVIATIONS * (wait / LONG_WAIT_SERVICE_TIMES).min(1.0);
         (self.mean + deviations * self.mean.sqrt()).round() as u32
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -13,26 +13,26 @@
 pub const BUDGET_PERCENT: u64 = 10;
 
 /// Hundredths of a retry that one offered piece of work adds to the budget.
-const EARNED: u64 = BUDGET_PERCENT;
+const DEPOSIT_HUNDREDTHS: u64 = BUDGET_PERCENT;
 
 /// One retry, in hundredths.
-const WHOLE: u64 = 100;
+const RETRY_HUNDREDTHS: u64 = 100;
 
 /// Maximum and initial budget, in hundredths of a retry. A crash of one upstream of a dozen
 /// fails about this many calls of one entry. The bound keeps the retries earned in a quiet hour
 /// from being spent at once in an outage.
-const SAVED_AT_MOST: u64 = 10 * WHOLE;
+const MAX_BALANCE_HUNDREDTHS: u64 = 10 * RETRY_HUNDREDTHS;
 
 /// Limits retries to a fraction of the offered load.
 #[derive(Debug)]
 pub struct Budget {
-    saved: u64,
+    balance_hundredths: u64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            saved: SAVED_AT_MOST,
+            balance_hundredths: MAX_BALANCE_HUNDREDTHS,
         }
     }
 }
@@ -40,7 +40,8 @@
 impl Budget {
     /// Records work that is offered for the first time.
     pub fn offered(&mut self) {
-        self.saved = (self.saved + EARNED).min(SAVED_AT_MOST);
+        self.balance_hundredths =
+            (self.balance_hundredths + DEPOSIT_HUNDREDTHS).min(MAX_BALANCE_HUNDREDTHS);
     }
 
     /// Takes one retry from the budget if the ending and the request allow it; false if not.
@@ -48,14 +49,14 @@
     /// Work that may have run is retried only if it is idempotent: an upstream whose connection
     /// closed may have run it.
     pub fn allow(&mut self, ending: Ending, idempotent: bool, tries: u32) -> bool {
-        let may_repeat = match ending {
+        let may_run_again = match ending {
             Ending::Unreachable => true,
             Ending::Failed => idempotent,
             Ending::Answered | Ending::Abandoned | Ending::Refused => false,
         };
-        let allowed = may_repeat && self.saved >= WHOLE && tries < TRIES;
+        let allowed = may_run_again && self.balance_hundredths >= RETRY_HUNDREDTHS && tries < TRIES;
         if allowed {
-            self.saved -= WHOLE;
+            self.balance_hundredths -= RETRY_HUNDREDTHS;
         }
         allowed
     }
--- a/crates/policy/src/tries.rs
+++ b/crates/policy/src/tries.rs
@@ -8,13 +8,13 @@
 use crate::work::UpstreamKey;
 
 /// Refusals by shared upstreams that do not count as tries.
-const REFUSALS_UNCOUNTED: u32 = 4;
+const UNCOUNTED_REFUSALS: u32 = 4;
 
 /// The tries of one call.
 #[derive(Debug, Clone)]
 pub struct Tries {
     /// Maximum number of counted tries, and of different upstreams that get the call.
-    most: u32,
+    limit: u32,
     counted: u32,
     refusals: u32,
     is_shared: bool,
@@ -23,12 +23,12 @@
 }
 
 impl Tries {
-    /// A call with at most `most` tries and upstreams. `is_shared`: whether other nodes call
+    /// A call with at most `limit` tries and upstreams. `is_shared`: whether other nodes call
     /// the upstreams as well.
     #[must_use]
-    pub fn new(most: u32, is_shared: bool) -> Self {
+    pub fn new(limit: u32, is_shared: bool) -> Self {
         Self {
-            most: most.max(1),
+            limit: limit.max(1),
             counted: 0,
             refusals: 0,
             is_shared,
@@ -40,19 +40,19 @@
     /// Whether the call may be tried again.
     #[must_use]
     pub const fn any_left(&self) -> bool {
-        self.counted < self.most
+        self.counted < self.limit
     }
 
     /// Whether the next try that counts is the last one.
     #[must_use]
     pub const fn is_last(&self) -> bool {
-        self.counted + 1 >= self.most
+        self.counted + 1 >= self.limit
     }
 
     /// Whether the call may be sent to this upstream.
     #[must_use]
     pub fn may_reach(&self, upstream: UpstreamKey) -> bool {
-        self.sent_to.contains(&upstream) || self.sent_to.len() < self.most as usize
+        self.sent_to.contains(&upstream) || self.sent_to.len() < self.limit as usize
     }
 
     /// Upstreams to use only if no other has a free slot.
@@ -72,12 +72,12 @@
             self.sent_to.push(upstream);
         }
         self.avoid.push(upstream);
-        self.counted += u32::from(!(is_refused && self.note_uncounted_refusal()));
+        self.counted += u32::from(!(is_refused && self.record_refusal()));
     }
 
     /// Records a refusal; true if it does not count as a try.
-    const fn note_uncounted_refusal(&mut self) -> bool {
+    const fn record_refusal(&mut self) -> bool {
         self.refusals += 1;
-        self.is_shared && self.refusals <= REFUSALS_UNCOUNTED
+        self.is_shared && self.refusals <= UNCOUNTED_REFUSALS
     }
 }
--- a/crates/policy/tests/answering.rs
+++ b/crates/policy/tests/answering.rs
@@ -25,7 +25,7 @@
 };
 
 #[test]
-fn how_long_a_question_is_held() {
+fn how_long_a_poll_is_held() {
     let cases = [
         Case {
             name: "some of the step",
@@ -92,43 +92,44 @@
 
 /// Shortest time between the starts of two polls of a trainer. It continues only when the next
 /// poll is due.
-const ASKS_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time from `whole`, when the last group is listed, until a trainer continues that first polled
-/// at `began`. Other samples are listed every 150 ms.
-fn goes_on_after(began: Duration, whole: Duration, is_held: bool) -> Duration {
-    let mut asked_at = began;
+/// Time from `last_group_at`, when the last group is listed, until a trainer continues that
+/// first polled at `first_poll`. Other samples are listed every 150 ms.
+fn continue_delay(first_poll: Duration, last_group_at: Duration, is_held: bool) -> Duration {
+    let mut polled_at = first_poll;
     let mut read_until = Duration::ZERO;
     loop {
-        let mut now = asked_at;
+        let mut now = polled_at;
         loop {
-            let news = now.as_millis() / 150 > read_until.as_millis() / 150 || now >= whole;
+            let has_news =
+                now.as_millis() / 150 > read_until.as_millis() / 150 || now >= last_group_at;
             let asked = Asked {
-                waited: now.saturating_sub(asked_at),
+                waited: now.saturating_sub(polled_at),
                 may_wait: SECOND,
-                whole_groups: if now >= whole { 13 } else { 12 },
+                whole_groups: if now >= last_group_at { 13 } else { 12 },
                 target_groups: 13,
                 age: now,
                 due: Duration::from_millis(7_500),
             };
-            let waits = if is_held {
+            let hold = if is_held {
                 asked.hold()
             } else {
                 Duration::ZERO
             };
-            if (news && waits.is_zero()) || now.saturating_sub(asked_at) >= SECOND {
+            if (has_news && hold.is_zero()) || now.saturating_sub(polled_at) >= SECOND {
                 break;
             }
-            now += LOOK_EVERY;
+            now += CHECK_INTERVAL;
         }
         read_until = now;
-        let next = now.max(asked_at + ASKS_EVERY);
-        if now >= whole {
-            return next.saturating_sub(whole);
+        let next = now.max(polled_at + POLL_INTERVAL);
+        if now >= last_group_at {
+            return next.saturating_sub(last_group_at);
         }
-        asked_at = next;
+        polled_at = next;
     }
 }
 
@@ -136,23 +137,23 @@
 /// whether its step is in time or overdue.
 #[test]
 fn a_trainer_goes_on_soon() {
-    let mean_of = |first_whole: Duration, is_held| {
+    let mean_of = |earliest: Duration, is_held| {
         let steps = (0..40_u32).map(|step| {
-            let began = LOOK_EVERY * (step * 7 % 50);
-            goes_on_after(began, first_whole + LOOK_EVERY * step, is_held)
+            let first_poll = CHECK_INTERVAL * (step * 7 % 50);
+            continue_delay(first_poll, earliest + CHECK_INTERVAL * step, is_held)
         });
         steps.sum::<Duration>() / 40
     };
-    let first_wholes = [
+    let cases = [
         ("in time", SECOND * 6),
         ("just late", SECOND * 15 / 2),
         ("much later", SECOND * 9),
     ];
-    for (name, first_whole) in first_wholes {
-        let (at_once, held) = (mean_of(first_whole, false), mean_of(first_whole, true));
+    for (name, earliest) in cases {
+        let (at_once, held) = (mean_of(earliest, false), mean_of(earliest, true));
         // An always open poll finds the last group at once; half of the time, the next poll is
         // already due.
-        assert!(held <= ASKS_EVERY / 2, "{name}: {held:?}");
+        assert!(held <= POLL_INTERVAL / 2, "{name}: {held:?}");
         assert!(
             held < at_once / 2,
             "{name}: {held:?} instead of {at_once:?}"
@@ -163,14 +164,14 @@
 /// Guards against samples that are listed by the due time of their step but read much later,
 /// because the trainer's poll is held for a group that is not complete.
 #[test]
-fn what_is_there_when_a_step_is_due_is_told_soon() {
+fn results_at_the_due_time_are_returned_soon() {
     let due = Duration::from_millis(7_500);
-    for began_ms in 0..50_u64 {
-        let asked_at = due.saturating_sub(LOOK_EVERY * began_ms as u32);
-        let mut now = asked_at;
+    for first_poll_ms in 0..50_u64 {
+        let polled_at = due.saturating_sub(CHECK_INTERVAL * first_poll_ms as u32);
+        let mut now = polled_at;
         loop {
             let asked = Asked {
-                waited: now.saturating_sub(asked_at),
+                waited: now.saturating_sub(polled_at),
                 may_wait: SECOND,
                 whole_groups: 12,
                 target_groups: 13,
@@ -180,11 +181,11 @@
             if asked.hold().is_zero() {
                 break;
             }
-            now += LOOK_EVERY;
+            now += CHECK_INTERVAL;
         }
         assert!(
-            now <= due + ASKS_EVERY,
-            "asked at {asked_at:?}, told at {now:?}"
+            now <= due + POLL_INTERVAL,
+            "polled at {polled_at:?}, answered at {now:?}"
         );
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -18,7 +18,7 @@
 use firweir_policy::work::WorkKey;
 
 const STEP: Duration = Duration::from_millis(10);
-const LIMIT: u32 = 8;
+const SLOTS_PER_UPSTREAM: u32 = 8;
 
 fn upstream(key: u32) -> UpstreamState {
     UpstreamState {
@@ -26,7 +26,7 @@
         hash: u64::from(key) * 7919,
         local_zone: key.is_multiple_of(3),
         leaving: false,
-        limit: LIMIT,
+        limit: SLOTS_PER_UPSTREAM,
     }
 }
 
@@ -46,10 +46,10 @@
 
 /// Time before work is offered. A new entry uses its whole share of the slots only after three
 /// seconds.
-const WARM: Duration = Duration::from_secs(5);
+const WARM_UP: Duration = Duration::from_secs(5);
 
 /// Duration in which work is offered, in seconds.
-const OFFERED_S: f64 = 55.0;
+const OFFERED_SECONDS: f64 = 55.0;
 
 const LIVE: Offer = Offer {
     class: Class::Live,
@@ -57,7 +57,7 @@
     every: Duration::from_millis(100),
     cost_tokens: 100,
     patience: Duration::from_secs(3),
-    from: WARM,
+    from: WARM_UP,
     until: MINUTE,
 };
 
@@ -71,14 +71,14 @@
 };
 
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct Got {
+struct Counts {
     offered: u32,
     in_time: u32,
     refused: u32,
     late: u32,
 }
 
-struct Flight {
+struct RunningWork {
     offer: usize,
     work: WorkKey,
     upstream: UpstreamKey,
@@ -87,7 +87,7 @@
     deadline: Instant,
 }
 
-struct Play {
+struct Simulation {
     dispatcher: Balanced,
     start: Instant,
     now: Instant,
@@ -95,14 +95,14 @@
     /// Upstream that takes ten times as long as the others.
     slow: Option<UpstreamKey>,
     offers: Vec<Offer>,
-    got: Vec<Got>,
+    counts: Vec<Counts>,
     works: Vec<(usize, Work)>,
-    flights: Vec<Flight>,
-    most_waiting: usize,
-    starts_at: Vec<(Instant, UpstreamKey)>,
+    running: Vec<RunningWork>,
+    max_waiting: usize,
+    starts: Vec<(Instant, UpstreamKey)>,
 }
 
-impl Play {
+impl Simulation {
     fn new(offers: &[Offer]) -> Self {
         let start = Instant::now();
         let upstreams: Vec<UpstreamState> = (0..6).map(upstream).collect();
@@ -115,23 +115,23 @@
             upstreams,
             slow: None,
             offers: offers.to_vec(),
-            got: vec![Got::default(); offers.len()],
+            counts: vec![Counts::default(); offers.len()],
             works: Vec::new(),
-            flights: Vec::new(),
-            most_waiting: 0,
-            starts_at: Vec::new(),
+            running: Vec::new(),
+            max_waiting: 0,
+            starts: Vec::new(),
         }
     }
 
-    fn run(&mut self, lasting: Duration) {
-        let end = self.now + lasting;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.offer_due();
-            self.carry_out();
+            self.apply_decisions();
             self.end_due();
             self.dispatcher.tick(self.now);
-            self.carry_out();
-            self.most_waiting = self.most_waiting.max(self.dispatcher.waiting());
+            self.apply_decisions();
+            self.max_waiting = self.max_waiting.max(self.dispatcher.waiting());
             self.now += STEP;
         }
     }
@@ -160,27 +160,27 @@
                     objective: None,
                     avoid: Vec::new(),
                 };
-                self.got[index].offered += 1;
+                self.counts[index].offered += 1;
                 self.works.push((index, work.clone()));
                 self.dispatcher.offer(self.now, work);
-                self.carry_out();
+                self.apply_decisions();
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_decisions(&mut self) {
         while let Some(decision) = self.dispatcher.next_decision() {
             match decision {
                 Decision::Refuse { work, .. } => {
                     let (offer, _) = &self.works[work.0 as usize];
-                    self.got[*offer].refused += 1;
+                    self.counts[*offer].refused += 1;
                 }
                 Decision::Start { work, upstream } => {
                     let (offer, started) = &self.works[work.0 as usize];
                     let factor = if self.slow == Some(upstream) { 10 } else { 1 };
                     let takes = Duration::from_millis(5) * started.cost_tokens * factor;
-                    self.starts_at.push((self.now, upstream));
-                    self.flights.push(Flight {
+                    self.starts.push((self.now, upstream));
+                    self.running.push(RunningWork {
                         offer: *offer,
                         work,
                         upstream,
@@ -195,45 +195,45 @@
 
     fn end_due(&mut self) {
         let now = self.now;
-        let mut ended: Vec<Flight> = Vec::new();
+        let mut ended: Vec<RunningWork> = Vec::new();
         let mut at = 0;
-        while at < self.flights.len() {
-            let flight = &self.flights[at];
-            if flight.ends <= now || flight.deadline <= now {
-                ended.push(self.flights.remove(at));
+        while at < self.running.len() {
+            let running_work = &self.running[at];
+            if running_work.ends <= now || running_work.deadline <= now {
+                ended.push(self.running.remove(at));
             } else {
                 at += 1;
             }
         }
-        for flight in ended {
-            let in_time = flight.ends <= now;
-            let got = &mut self.got[flight.offer];
-            got.in_time += u32::from(in_time);
-            got.late += u32::from(!in_time);
+        for running_work in ended {
+            let in_time = running_work.ends <= now;
+            let counts = &mut self.counts[running_work.offer];
+            counts.in_time += u32::from(in_time);
+            counts.late += u32::from(!in_time);
             let finish = Finish {
                 ending: if in_time {
                     Ending::Answered
                 } else {
                     Ending::Abandoned
                 },
-                elapsed: now.duration_since(flight.started),
+                elapsed: now.duration_since(running_work.started),
                 told: None,
                 tokens: 0,
             };
-            self.dispatcher.finish(now, flight.work, &finish);
-            self.carry_out();
+            self.dispatcher.finish(now, running_work.work, &finish);
+            self.apply_decisions();
         }
     }
 
     fn in_flight_at(&self, upstream: UpstreamKey) -> usize {
-        let there = |flight: &&Flight| flight.upstream == upstream;
-        self.flights.iter().filter(there).count()
+        let at_upstream = |running_work: &&RunningWork| running_work.upstream == upstream;
+        self.running.iter().filter(at_upstream).count()
     }
 }
 
 /// Fraction of the offered work that was answered in time.
-fn share(got: Got) -> f64 {
-    f64::from(got.in_time) / f64::from(got.offered.max(1))
+fn in_time_fraction(counts: Counts) -> f64 {
+    f64::from(counts.in_time) / f64::from(counts.offered.max(1))
 }
 
 struct LoadCase {
@@ -288,10 +288,15 @@
         },
     ];
     for case in cases {
-        let mut play = Play::new(&case.offers);
-        play.run(MINUTE + LIVE.patience);
-        for (got, least) in play.got.iter().zip(&case.least) {
-            assert!(share(*got) >= *least, "{}: {:?}", case.name, play.got);
+        let mut simulation = Simulation::new(&case.offers);
+        simulation.run(MINUTE + LIVE.patience);
+        for (counts, least) in simulation.counts.iter().zip(&case.least) {
+            assert!(
+                in_time_fraction(*counts) >= *least,
+                "{}: {:?}",
+                case.name,
+                simulation.counts
+            );
         }
     }
 }
@@ -308,29 +313,39 @@
             ..LIVE
         })
         .collect();
-    let mut play = Play::new(&callers);
-    play.run(WARM * 3);
+    let mut simulation = Simulation::new(&callers);
+    simulation.run(WARM_UP * 3);
     // Work that queued before the queue counts as standing may drain first.
-    play.most_waiting = 0;
-    play.run(MINUTE);
-    let sum = |of: fn(&Got) -> u32| play.got.iter().map(of).sum::<u32>();
-    let fits = OFFERED_S * f64::from(6 * LIMIT) / 0.5;
-    let offered = 10.0 * OFFERED_S / 0.05;
-    assert!(offered > fits * 2.0, "the case saturates");
+    simulation.max_waiting = 0;
+    simulation.run(MINUTE);
+    let sum = |of: fn(&Counts) -> u32| simulation.counts.iter().map(of).sum::<u32>();
+    let capacity = OFFERED_SECONDS * f64::from(6 * SLOTS_PER_UPSTREAM) / 0.5;
+    let offered = 10.0 * OFFERED_SECONDS / 0.05;
+    assert!(offered > capacity * 2.0, "the case saturates");
     assert!(
-        f64::from(sum(|got| got.in_time)) > 0.95 * fits,
+        f64::from(sum(|counts| counts.in_time)) > 0.95 * capacity,
         "{:?}",
-        play.got
+        simulation.counts
     );
     assert!(
-        sum(|got| got.late) < sum(|got| got.in_time) / 100,
+        sum(|counts| counts.late) < sum(|counts| counts.in_time) / 100,
         "{:?}",
-        play.got
+        simulation.counts
     );
-    let least = play.got.iter().map(|got| got.in_time).min().unwrap_or(0);
-    let most = play.got.iter().map(|got| got.in_time).max().unwrap_or(0);
-    assert!(least * 5 > most * 4, "{:?}", play.got);
-    assert!(play.most_waiting < 40, "{}", play.most_waiting);
+    let least = simulation
+        .counts
+        .iter()
+        .map(|counts| counts.in_time)
+        .min()
+        .unwrap_or(0);
+    let most = simulation
+        .counts
+        .iter()
+        .map(|counts| counts.in_time)
+        .max()
+        .unwrap_or(0);
+    assert!(least * 5 > most * 4, "{:?}", simulation.counts);
+    assert!(simulation.max_waiting < 40, "{}", simulation.max_waiting);
 }
 
 /// Guards against training that gets no slot, so that its model becomes stale, while live load
@@ -341,14 +356,14 @@
         every: Duration::from_millis(2),
         ..LIVE
     };
-    let mut play = Play::new(&[live, TRAINING]);
-    play.run(MINUTE + LIVE.patience);
-    let slots = f64::from(6 * LIMIT);
-    let fits = OFFERED_S * slots / 5.0;
+    let mut simulation = Simulation::new(&[live, TRAINING]);
+    simulation.run(MINUTE + LIVE.patience);
+    let slots = f64::from(6 * SLOTS_PER_UPSTREAM);
+    let capacity = OFFERED_SECONDS * slots / 5.0;
     assert!(
-        f64::from(play.got[1].in_time) > 0.06 * fits,
+        f64::from(simulation.counts[1].in_time) > 0.06 * capacity,
         "{:?}",
-        play.got
+        simulation.counts
     );
 }
 
@@ -360,18 +375,22 @@
         every: Duration::from_millis(20),
         ..LIVE
     };
-    let mut play = Play::new(&[live]);
-    play.run(Duration::from_secs(15));
-    play.slow = Some(UpstreamKey(2));
-    let before = play.starts_at.len();
-    play.run(Duration::from_secs(50));
-    let after = &play.starts_at[before..];
-    let there = after
+    let mut simulation = Simulation::new(&[live]);
+    simulation.run(Duration::from_secs(15));
+    simulation.slow = Some(UpstreamKey(2));
+    let before = simulation.starts.len();
+    simulation.run(Duration::from_secs(50));
+    let after = &simulation.starts[before..];
+    let at_upstream = after
         .iter()
         .filter(|(_, upstream)| *upstream == UpstreamKey(2));
-    let part = there.count() as f64 / after.len() as f64;
+    let part = at_upstream.count() as f64 / after.len() as f64;
     assert!(part < 0.01, "{part}");
-    assert!(share(play.got[0]) > 0.99, "{:?}", play.got);
+    assert!(
+        in_time_fraction(simulation.counts[0]) > 0.99,
+        "{:?}",
+        simulation.counts
+    );
 }
 
 /// Guards against ejecting upstreams one after the other when all become slow together, which
@@ -382,13 +401,13 @@
         patience: Duration::from_secs(30),
         ..LIVE
     };
-    let mut play = Play::new(&[live]);
-    play.run(Duration::from_secs(10));
-    for offer in &mut play.offers {
+    let mut simulation = Simulation::new(&[live]);
+    simulation.run(Duration::from_secs(10));
+    for offer in &mut simulation.offers {
         offer.cost_tokens = 1_000;
     }
-    play.run(Duration::from_secs(40));
-    let used = (0..6).filter(|key| play.in_flight_at(UpstreamKey(*key)) > 0);
+    simulation.run(Duration::from_secs(40));
+    let used = (0..6).filter(|key| simulation.in_flight_at(UpstreamKey(*key)) > 0);
     assert_eq!(used.count(), 6);
 }
 
@@ -396,59 +415,63 @@
 /// Callers would wait until their deadline.
 #[test]
 fn failing_everywhere_leaves_upstreams_in_use() {
-    let mut play = Play::new(&[LIVE]);
-    play.run(Duration::from_secs(10));
+    let mut simulation = Simulation::new(&[LIVE]);
+    simulation.run(Duration::from_secs(10));
     for _ in 0..60 {
-        for flight in std::mem::take(&mut play.flights) {
+        for running_work in std::mem::take(&mut simulation.running) {
             let finish = Finish {
                 ending: Ending::Failed,
                 elapsed: STEP,
                 tokens: 0,
                 told: None,
             };
-            play.dispatcher.finish(play.now, flight.work, &finish);
-            play.carry_out();
+            simulation
+                .dispatcher
+                .finish(simulation.now, running_work.work, &finish);
+            simulation.apply_decisions();
         }
-        play.run(Duration::from_millis(100));
+        simulation.run(Duration::from_millis(100));
     }
-    let before = play.starts_at.len();
-    play.run(Duration::from_secs(5));
-    assert!(play.starts_at.len() >= before + 45);
+    let before = simulation.starts.len();
+    simulation.run(Duration::from_secs(5));
+    assert!(simulation.starts.len() >= before + 45);
 }
 
 /// Guards against an upstream that is never tried again after a crash, while others have free
 /// slots.
 #[test]
 fn a_crashed_upstream_is_tried_again_while_others_have_room() {
-    let sparse = |offer: Offer| Offer {
+    let infrequent = |offer: Offer| Offer {
         every: Duration::from_millis(500),
         ..offer
     };
-    for offer in [sparse(TRAINING), sparse(LIVE)] {
-        let mut play = Play::new(&[offer]);
-        play.run(Duration::from_secs(10));
+    for offer in [infrequent(TRAINING), infrequent(LIVE)] {
+        let mut simulation = Simulation::new(&[offer]);
+        simulation.run(Duration::from_secs(10));
         let crashed = UpstreamKey(2);
         for _ in 0..50 {
-            for flight in std::mem::take(&mut play.flights) {
-                if flight.upstream == crashed {
+            for running_work in std::mem::take(&mut simulation.running) {
+                if running_work.upstream == crashed {
                     let finish = Finish {
                         ending: Ending::Unreachable,
                         elapsed: STEP,
                         tokens: 0,
                         told: None,
                     };
-                    play.dispatcher.finish(play.now, flight.work, &finish);
-                    play.carry_out();
+                    simulation
+                        .dispatcher
+                        .finish(simulation.now, running_work.work, &finish);
+                    simulation.apply_decisions();
                 } else {
-                    play.flights.push(flight);
+                    simulation.running.push(running_work);
                 }
             }
-            play.run(Duration::from_millis(100));
+            simulation.run(Duration::from_millis(100));
         }
-        play.run(Duration::from_secs(20));
-        let before = play.starts_at.len();
-        play.run(Duration::from_secs(15));
-        let after = &play.starts_at[before..];
+        simulation.run(Duration::from_secs(20));
+        let before = simulation.starts.len();
+        simulation.run(Duration::from_secs(15));
+        let after = &simulation.starts[before..];
         let back = after.iter().filter(|(_, upstream)| *upstream == crashed);
         assert!(
             back.count() > 0,
@@ -463,16 +486,17 @@
 /// be cut off when the upstream stops.
 #[test]
 fn a_leaving_upstream_gets_no_new_work() {
-    let mut play = Play::new(&[LIVE, TRAINING]);
-    play.run(Duration::from_secs(10));
-    play.upstreams[1].leaving = true;
-    let upstreams = play.upstreams.clone();
-    play.dispatcher
-        .set_upstreams(play.now, &upstreams, &Fleet::ALONE);
-    play.carry_out();
-    let before = play.starts_at.len();
-    play.run(Duration::from_secs(30));
-    let after = &play.starts_at[before..];
+    let mut simulation = Simulation::new(&[LIVE, TRAINING]);
+    simulation.run(Duration::from_secs(10));
+    simulation.upstreams[1].leaving = true;
+    let upstreams = simulation.upstreams.clone();
+    simulation
+        .dispatcher
+        .set_upstreams(simulation.now, &upstreams, &Fleet::ALONE);
+    simulation.apply_decisions();
+    let before = simulation.starts.len();
+    simulation.run(Duration::from_secs(30));
+    let after = &simulation.starts[before..];
     assert!(after.len() > 100);
     assert!(
         after
--- a/crates/policy/tests/shared_service.rs
+++ b/crates/policy/tests/shared_service.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use shared_support::CAPACITY_PER_S;
-use shared_support::Got;
+use shared_support::CallStats;
 use shared_support::Offer;
-use shared_support::Play;
+use shared_support::Simulation;
 
-const LASTING: Duration = Duration::from_secs(30);
+const DURATION: Duration = Duration::from_secs(30);
 
-const ONE: Offer = Offer {
+const LIGHT: Offer = Offer {
     account: 1,
     priority: 0,
     per_s: |_| CAPACITY_PER_S * 0.3,
@@ -24,13 +24,13 @@
         let in_burst = passed.as_millis() % 5_000 < 2_000;
         CAPACITY_PER_S * if in_burst { 1.3 } else { 0.5 }
     },
-    ..ONE
+    ..LIGHT
 };
 
-fn play(shared: bool, offers: &[Offer]) -> Play {
-    let mut play = Play::new(shared, offers);
-    play.run(LASTING);
-    play
+fn simulate(shared: bool, offers: &[Offer]) -> Simulation {
+    let mut simulation = Simulation::new(shared, offers);
+    simulation.run(DURATION);
+    simulation
 }
 
 /// Bursts of two seconds slightly above the capacity, and less load between them.
@@ -39,88 +39,88 @@
         let in_burst = passed.as_millis() % 5_000 < 2_000;
         CAPACITY_PER_S * if in_burst { 1.1 } else { 0.8 }
     },
-    ..ONE
+    ..LIGHT
 };
 
-fn with_a_slow_upstream(shared: bool) -> Play {
+fn with_a_slow_upstream(shared: bool) -> Simulation {
     let near = Offer {
         per_s: |_| CAPACITY_PER_S * 0.9,
-        ..ONE
+        ..LIGHT
     };
-    let mut play = Play::new(shared, &[near]);
+    let mut simulation = Simulation::new(shared, &[near]);
     for _ in 0..6 {
-        play.run(Duration::from_secs(4));
-        play.slow(1, 3);
-        play.run(Duration::from_secs(1));
-        play.slow(1, 1);
+        simulation.run(Duration::from_secs(4));
+        simulation.set_slow_factor(1, 3);
+        simulation.run(Duration::from_secs(1));
+        simulation.set_slow_factor(1, 1);
     }
-    play
+    simulation
 }
 
-fn refused_part(play: &Play) -> f64 {
-    f64::from(play.refused_arrivals) / f64::from(play.arrivals)
+fn refused_fraction(simulation: &Simulation) -> f64 {
+    f64::from(simulation.refused_arrivals) / f64::from(simulation.arrivals)
 }
 
-fn print(name: &str, play: &Play) {
-    let idle = play.idle_ms as f64 / (play.idle_ms + play.busy_ms) as f64;
+fn print(name: &str, simulation: &Simulation) {
+    let idle = simulation.idle_ms as f64 / (simulation.idle_ms + simulation.busy_ms) as f64;
     println!(
         "{name}: arrivals {} refused there {:.4} idle {idle:.4}",
-        play.arrivals,
-        refused_part(play)
+        simulation.arrivals,
+        refused_fraction(simulation)
     );
-    for got in &play.got {
+    for stats in &simulation.stats {
         println!(
             "  offered {} in time {} late {} refused {} p50 {} p99 {}",
-            got.offered,
-            got.in_time,
-            got.late,
-            got.refused,
-            got.quantile_ms(0.5),
-            got.quantile_ms(0.99)
+            stats.offered,
+            stats.in_time,
+            stats.late,
+            stats.refused,
+            stats.quantile_ms(0.5),
+            stats.quantile_ms(0.99)
         );
     }
 }
 
-fn served_part(got: &Got) -> f64 {
-    f64::from(got.in_time + got.late) / f64::from(got.offered)
+fn served_fraction(stats: &CallStats) -> f64 {
+    f64::from(stats.in_time + stats.late) / f64::from(stats.offered)
 }
 
-fn in_time(play: &Play) -> u32 {
-    play.got.iter().map(|got| got.in_time).sum()
+fn in_time(simulation: &Simulation) -> u32 {
+    simulation.stats.iter().map(|stats| stats.in_time).sum()
 }
 
-fn late(play: &Play) -> u32 {
-    play.got.iter().map(|got| got.late).sum()
+fn late(simulation: &Simulation) -> u32 {
+    simulation.stats.iter().map(|stats| stats.late).sum()
 }
 
 /// Guards against nodes that use all slots as their own, so that upstreams refuse many calls,
 /// and against idle slots while calls wait at nodes.
 #[test]
 fn bursts_beyond_the_capacity_are_held_at_the_nodes() {
-    let (before, after) = (play(false, &[BURSTS]), play(true, &[BURSTS]));
-    print("bursts without estimate", &before);
-    print("bursts with estimate", &after);
+    let (without, with) = (simulate(false, &[BURSTS]), simulate(true, &[BURSTS]));
+    print("bursts without estimate", &without);
+    print("bursts with estimate", &with);
     assert!(
-        refused_part(&before) > 0.3,
+        refused_fraction(&without) > 0.3,
         "the load is the one to guard against"
     );
-    assert!(refused_part(&after) < 0.05);
-    assert!(after.idle_ms * 100 < after.busy_ms);
-    let (before, after) = (&before.got[0], &after.got[0]);
-    assert!(f64::from(after.in_time) > f64::from(before.in_time) * 0.97);
-    assert!(after.quantile_ms(0.5) < before.quantile_ms(0.5));
+    assert!(refused_fraction(&with) < 0.05);
+    assert!(with.idle_ms * 100 < with.busy_ms);
+    let (without, with) = (&without.stats[0], &with.stats[0]);
+    assert!(f64::from(with.in_time) > f64::from(without.in_time) * 0.97);
+    assert!(with.quantile_ms(0.5) < without.quantile_ms(0.5));
 }
 
 /// Guards against refusing a call after a short wait in congestion although its deadline and
 /// objective allow several call times.
 #[test]
 fn calls_close_to_the_capacity_wait_within_their_objective() {
-    let (before, after) = (play(false, &[NEAR]), play(true, &[NEAR]));
-    print("near without estimate", &before);
-    print("near with estimate", &after);
-    assert!(refused_part(&after) < 0.05);
-    let (before, after) = (&before.got[0], &after.got[0]);
-    assert!(after.late <= before.late);
+    let (without, with) = (simulate(false, &[NEAR]), simulate(true, &[NEAR]));
+    print("near without estimate", &without);
+    print("near with estimate", &with);
+    assert!(refused_fraction(&with) < 0.05);
+    let (without, with) = (&without.stats[0], &with.stats[0]);
+    assert!(with.late <= without.late);
 }
 
 /// Guards against calls near the capacity that are refused although they could be served, or
@@ -128,21 +128,21 @@
 #[test]
 #[ignore = "known red: KNOWN-RED.txt"]
 fn calls_close_to_the_capacity_are_served_as_often_and_sooner() {
-    let (before, after) = (play(false, &[NEAR]), play(true, &[NEAR]));
-    let (before, after) = (&before.got[0], &after.got[0]);
-    assert!(after.refused <= before.refused);
-    assert!(after.late * 3 <= before.late);
+    let (without, with) = (simulate(false, &[NEAR]), simulate(true, &[NEAR]));
+    let (without, with) = (&without.stats[0], &with.stats[0]);
+    assert!(with.refused <= without.refused);
+    assert!(with.late * 3 <= without.late);
 }
 
 /// Guards against limits that are cut under a load well below the capacity, which loses calls.
 #[test]
 fn a_calm_load_loses_nothing() {
-    let (before, after) = (play(false, &[ONE]), play(true, &[ONE]));
-    print("calm without estimate", &before);
-    print("calm with estimate", &after);
-    assert_eq!(after.got[0].refused + after.got[0].late, 0);
-    assert!(after.got[0].in_time >= before.got[0].in_time);
-    assert_eq!(after.refused_arrivals, 0);
+    let (without, with) = (simulate(false, &[LIGHT]), simulate(true, &[LIGHT]));
+    print("calm without estimate", &without);
+    print("calm with estimate", &with);
+    assert_eq!(with.stats[0].refused + with.stats[0].late, 0);
+    assert!(with.stats[0].in_time >= without.stats[0].in_time);
+    assert_eq!(with.refused_arrivals, 0);
 }
 
 /// Guards against the account with the most calls taking the slots of the others.
@@ -150,22 +150,22 @@
 fn an_account_at_ten_times_its_share_does_not_crowd_out_the_others() {
     let large = Offer {
         per_s: |_| CAPACITY_PER_S * 1.3,
-        ..ONE
+        ..LIGHT
     };
     let small = |account| Offer {
         account,
         per_s: |_| CAPACITY_PER_S * 0.13,
-        ..ONE
+        ..LIGHT
     };
     let offers = [large, small(2), small(3)];
-    let (before, after) = (play(false, &offers), play(true, &offers));
-    print("ten times without estimate", &before);
-    print("ten times with estimate", &after);
-    assert!(refused_part(&after) < 0.05);
-    assert!(served_part(&after.got[1]) > 0.95);
-    assert!(served_part(&after.got[2]) > 0.95);
-    assert!(late(&after) * 3 < late(&before));
-    assert!(in_time(&after) > in_time(&before));
+    let (without, with) = (simulate(false, &offers), simulate(true, &offers));
+    print("ten times without estimate", &without);
+    print("ten times with estimate", &with);
+    assert!(refused_fraction(&with) < 0.05);
+    assert!(served_fraction(&with.stats[1]) > 0.95);
+    assert!(served_fraction(&with.stats[2]) > 0.95);
+    assert!(late(&with) * 3 < late(&without));
+    assert!(in_time(&with) > in_time(&without));
 }
 
 /// Guards against refusing high-priority calls as often as others in overload, and against
@@ -174,46 +174,46 @@
 fn a_higher_priority_goes_first_and_a_lower_one_still_gets_a_part() {
     let high = Offer {
         per_s: |_| CAPACITY_PER_S * 0.8,
-        ..ONE
+        ..LIGHT
     };
     let low = Offer {
         account: 2,
         priority: 5,
         per_s: |_| CAPACITY_PER_S * 0.8,
     };
-    let (before, after) = (play(false, &[high, low]), play(true, &[high, low]));
-    print("priorities without estimate", &before);
-    print("priorities with estimate", &after);
-    assert!(refused_part(&after) < 0.05);
-    assert!(served_part(&after.got[0]) > 0.95);
-    assert!(late(&after) * 3 < late(&before));
-    assert!(in_time(&after) > in_time(&before));
-    let fair = CAPACITY_PER_S * LASTING.as_secs_f64() / 2.0;
-    assert!(f64::from(after.got[1].in_time) > fair * 0.25);
+    let (without, with) = (simulate(false, &[high, low]), simulate(true, &[high, low]));
+    print("priorities without estimate", &without);
+    print("priorities with estimate", &with);
+    assert!(refused_fraction(&with) < 0.05);
+    assert!(served_fraction(&with.stats[0]) > 0.95);
+    assert!(late(&with) * 3 < late(&without));
+    assert!(in_time(&with) > in_time(&without));
+    let fair = CAPACITY_PER_S * DURATION.as_secs_f64() / 2.0;
+    assert!(f64::from(with.stats[1].in_time) > fair * 0.25);
 }
 
 /// Guards against sending an upstream that has become slow more calls than it can serve.
 #[test]
 fn a_slow_upstream_gets_no_more_than_it_serves() {
-    let (before, after) = (with_a_slow_upstream(false), with_a_slow_upstream(true));
-    print("slow without estimate", &before);
-    print("slow with estimate", &after);
-    assert!(refused_part(&after) < 0.05);
-    assert!(after.got[0].late <= before.got[0].late);
+    let (without, with) = (with_a_slow_upstream(false), with_a_slow_upstream(true));
+    print("slow without estimate", &without);
+    print("slow with estimate", &with);
+    assert!(refused_fraction(&with) < 0.05);
+    assert!(with.stats[0].late <= without.stats[0].late);
 }
 
 /// Guards against sending waiting calls to an upstream that has been marked as leaving.
 #[test]
 fn an_upstream_that_leaves_gets_no_call_that_waited() {
-    let mut play = Play::new(true, &[BURSTS]);
-    play.run(Duration::from_secs(1));
+    let mut simulation = Simulation::new(true, &[BURSTS]);
+    simulation.run(Duration::from_secs(1));
     assert!(
-        play.waiting() > 0,
+        simulation.waiting() > 0,
         "a call waits as the upstream begins to leave"
     );
-    play.set_leaving(0);
-    play.run(Duration::from_millis(5));
-    let arrived = play.arrivals_at(0);
-    play.run(Duration::from_secs(5));
-    assert_eq!(play.arrivals_at(0), arrived);
+    simulation.set_leaving(0);
+    simulation.run(Duration::from_millis(5));
+    let arrived = simulation.arrivals_at(0);
+    simulation.run(Duration::from_secs(5));
+    assert_eq!(simulation.arrivals_at(0), arrived);
 }
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -23,7 +23,7 @@
 use firweir_policy::work::Work;
 use firweir_policy::work::WorkKey;
 
-pub use call_stats::Got;
+pub use call_stats::CallStats;
 use upstream::SLOTS;
 use upstream::Upstream;
 
@@ -39,7 +39,7 @@
 /// Attempts of a client, which retries after the delay that a refusal gives.
 const ATTEMPTS: u32 = 3;
 /// Time after which a client may retry a call that has used up its tries.
-const COME_BACK: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Calls per second that all upstreams together can complete.
 pub const CAPACITY_PER_S: f64 = 720.0;
@@ -59,7 +59,7 @@
     node: usize,
     offered: Instant,
     /// Start of the client's current attempt.
-    asked: Instant,
+    attempt_started: Instant,
     attempts: u32,
     ended: bool,
 }
@@ -72,11 +72,11 @@
     answer: Option<(Ending, ToldLoad)>,
 }
 
-pub struct Play {
+pub struct Simulation {
     start: Instant,
     now: Instant,
     /// Time of the previous step.
-    before: Instant,
+    previous: Instant,
     nodes: Vec<Balanced>,
     states: Vec<UpstreamState>,
     upstreams: Vec<Upstream>,
@@ -87,11 +87,11 @@
     tries: Vec<Tries>,
     sent_at: Vec<Instant>,
     messages: VecDeque<Message>,
-    coming_back: Vec<(Instant, WorkKey)>,
+    retries: Vec<(Instant, WorkKey)>,
     random: u64,
     /// Whether nodes estimate the free capacity of shared upstreams.
     shared: bool,
-    pub got: Vec<Got>,
+    pub stats: Vec<CallStats>,
     pub arrivals: u32,
     pub refused_arrivals: u32,
     /// Slot-milliseconds that were idle while calls waited at nodes.
@@ -99,7 +99,7 @@
     pub busy_ms: u64,
 }
 
-impl Play {
+impl Simulation {
     pub fn new(shared: bool, offers: &[Offer]) -> Self {
         let start = Instant::now();
         let states: Vec<UpstreamState> = (0..UPSTREAMS).map(state).collect();
@@ -107,7 +107,7 @@
         Self {
             start,
             now: start,
-            before: start,
+            previous: start,
             nodes: nodes.collect(),
             upstreams: states.iter().map(|_| Upstream::new()).collect(),
             states,
@@ -117,10 +117,10 @@
             tries: Vec::new(),
             sent_at: Vec::new(),
             messages: VecDeque::new(),
-            coming_back: Vec::new(),
+            retries: Vec::new(),
             random: 1,
             shared,
-            got: vec![Got::default(); offers.len()],
+            stats: vec![CallStats::default(); offers.len()],
             arrivals: 0,
             refused_arrivals: 0,
             idle_ms: 0,
@@ -129,7 +129,7 @@
     }
 
     /// Makes calls that start at this upstream from now on take `factor` times as long.
-    pub fn slow(&mut self, upstream: usize, factor: u32) {
+    pub fn set_slow_factor(&mut self, upstream: usize, factor: u32) {
         self.upstreams[upstream].slow_factor = factor;
     }
 
@@ -153,17 +153,17 @@
         }
     }
 
-    pub fn run(&mut self, lasting: Duration) {
-        let end = self.now + lasting;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         let mut steps = 0;
         while self.now < end {
             self.offer_due();
-            self.come_back();
-            self.work_upstreams();
+            self.retry_due();
+            self.run_upstreams();
             self.deliver();
-            self.look(steps % TICK_STEPS);
-            self.note_idle();
-            self.before = self.now;
+            self.advance_nodes(steps % TICK_STEPS);
+            self.record_idle();
+            self.previous = self.now;
             self.now += STEP;
             steps += 1;
         }
@@ -191,23 +191,23 @@
     fn new_call(&mut self, offer: usize) {
         let node = (self.random() % NODES as u64) as usize;
         let work = WorkKey(self.calls.len() as u64);
-        self.got[offer].offered += 1;
+        self.stats[offer].offered += 1;
         self.sent_at.push(self.now);
         self.calls.push(Call {
             offer,
             node,
             offered: self.now,
-            asked: self.now,
+            attempt_started: self.now,
             attempts: 0,
             ended: false,
         });
         self.tries.push(Tries::new(MAX_ATTEMPTS, self.shared));
-        self.ask(work);
+        self.offer_call(work);
     }
 
-    fn ask(&mut self, key: WorkKey) {
+    fn offer_call(&mut self, key: WorkKey) {
         let call = self.calls[key.0 as usize];
-        let passed = self.now.duration_since(call.asked);
+        let passed = self.now.duration_since(call.attempt_started);
         let work = Work {
             key,
             class: Class::Live,
@@ -246,7 +246,7 @@
             told: None,
         };
         self.nodes[node].finish(self.now, work, &finish);
-        self.refuse(work, COME_BACK);
+        self.refuse(work, RETRY_DELAY);
     }
 
     fn send(&mut self, work: WorkKey, upstream: usize, answer: Option<(Ending, ToldLoad)>) {
@@ -263,16 +263,16 @@
         assert!(!call.ended, "a call ends once");
         call.ended = true;
         let took = self.now.duration_since(call.offered);
-        let got = &mut self.got[call.offer];
+        let stats = &mut self.stats[call.offer];
         if !answered {
-            got.refused += 1;
+            stats.refused += 1;
             return;
         }
-        got.waits_ms.push(took.as_millis() as u64);
+        stats.latencies_ms.push(took.as_millis() as u64);
         if took <= OBJECTIVE {
-            got.in_time += 1;
+            stats.in_time += 1;
         } else {
-            got.late += 1;
+            stats.late += 1;
         }
     }
 
@@ -286,23 +286,21 @@
             return self.end(work, false);
         }
         self.tries[work.0 as usize] = Tries::new(MAX_ATTEMPTS, self.shared);
-        self.coming_back.push((self.now + pause, work));
+        self.retries.push((self.now + pause, work));
     }
 
-    fn come_back(&mut self) {
+    fn retry_due(&mut self) {
         let now = self.now;
         let is_due = |held: &(Instant, WorkKey)| held.0 <= now;
-        let due: Vec<(Instant, WorkKey)> = self
-            .coming_back
-            .extract_if(.., |held| is_due(held))
-            .collect();
+        let due: Vec<(Instant, WorkKey)> =
+            self.retries.extract_if(.., |held| is_due(held)).collect();
         for (_, work) in due {
-            self.calls[work.0 as usize].asked = now;
-            self.ask(work);
+            self.calls[work.0 as usize].attempt_started = now;
+            self.offer_call(work);
         }
     }
 
-    fn work_upstreams(&mut self) {
+    fn run_upstreams(&mut self) {
         for at in 0..self.upstreams.len() {
             while let Some(work) = self.upstreams[at].end_due(self.now) {
                 let told = self.upstreams[at].told();
@@ -351,17 +349,17 @@
         let tries = &mut self.tries[work.0 as usize];
         tries.note_sent(UpstreamKey(message.upstream as u32), true);
         if !tries.any_left() {
-            return self.refuse(work, COME_BACK);
+            return self.refuse(work, RETRY_DELAY);
         }
-        self.ask(work);
+        self.offer_call(work);
     }
 
-    fn look(&mut self, tick: u32) {
+    fn advance_nodes(&mut self, tick: u32) {
         for node in 0..NODES {
             if tick == 0 {
                 self.nodes[node].tick(self.now);
             }
-            let next = self.nodes[node].next_look(self.before);
+            let next = self.nodes[node].next_look(self.previous);
             if next.is_some_and(|at| at <= self.now) {
                 self.nodes[node].look(self.now);
             }
@@ -369,7 +367,7 @@
         }
     }
 
-    fn note_idle(&mut self) {
+    fn record_idle(&mut self) {
         let busy: usize = self.upstreams.iter().map(|held| held.running.len()).sum();
         let slots = SLOTS * self.upstreams.len();
         self.busy_ms += busy as u64;
