--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When the next step starts.
+//! Start times of the next step.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,25 +9,25 @@
     name: &'static str,
     weight_percent: u32,
     step_s: u64,
-    published: bool,
+    is_published: bool,
     wait_s: u64,
 }
 
-/// A trainer takes 40 s for each lot. Samples drafted at once are a version old
-/// when it takes them; started too late, they leave it idle.
+/// Guards against samples that are one version old because they were generated too early, and
+/// against an idle trainer because they were generated too late. It trains 40 s on each lot.
 #[test]
-fn a_step_starts_when_its_weight_says() {
-    let case = |name, weight_percent, step_s, published, wait_s| WaitCase {
+fn the_staleness_weight_determines_the_start() {
+    let case = |name, weight_percent, step_s, is_published, wait_s| WaitCase {
         name,
         weight_percent,
         step_s,
-        published,
+        is_published,
         wait_s,
     };
     let cases = [
-        case("idle time alone counts", 0, 10, false, 0),
-        case("a little: with time to spare", 1, 10, false, 25),
-        case("half", 50, 20, false, 15),
+        case("only idle time counts", 0, 10, false, 0),
+        case("low weight: with time to spare", 1, 10, false, 25),
+        case("half weight", 50, 20, false, 15),
         case(
             "a step longer than the training starts at once",
             25,
@@ -36,14 +36,26 @@
             0,
         ),
         case(
-            "staleness alone counts: for new weights",
+            "only staleness counts: waits for new weights",
             100,
             10,
             false,
             50,
         ),
-        case("weights are published, not served yet", 100, 10, true, 10),
-        case("published weights end any other wait", 99, 10, true, 0),
+        case(
+            "weights are published but not served yet",
+            100,
+            10,
+            true,
+            10,
+        ),
+        case(
+            "published weights end the wait at a lower weight",
+            99,
+            10,
+            true,
+            0,
+        ),
     ];
     for case in cases {
         let start = Instant::now();
@@ -53,10 +65,10 @@
         pace.published(start + train);
         pace.drafted(Duration::from_secs(case.step_s));
         pace.accepted(start + train);
-        if case.published {
+        if case.is_published {
             pace.published(start + train + train);
         }
-        let now = if case.published {
+        let now = if case.is_published {
             start + train + train
         } else {
             start + train
@@ -66,9 +78,9 @@
     }
 }
 
-/// A new holder knows nothing of its trainer and must not keep it waiting.
+/// Guards against a new holder that delays the trainer before it has measured any durations.
 #[test]
-fn a_feed_that_has_learnt_nothing_starts_at_once() {
+fn a_feed_without_measurements_starts_at_once() {
     let mut pace = Pace::default();
     let now = Instant::now();
     assert_eq!(pace.wait(100, now), Duration::ZERO);
@@ -76,8 +88,8 @@
     assert_eq!(pace.wait(100, now), Duration::ZERO);
 }
 
-/// The trainer's weights are published and every engine serves them: the wait
-/// for fresh samples ends, and begins again with the next lot.
+/// Guards against a wait that continues after every engine serves the published weights, and
+/// against one that does not start again with the next lot.
 #[test]
 fn served_weights_end_the_wait() {
     let start = Instant::now();
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -1,4 +1,4 @@
-//! Own speeds and disturbances, as learnt from events and reports.
+//! Undisturbed times and disturbances as estimated from events and reports.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,8 +8,8 @@
 use firweir_policy::speed::Speed;
 use firweir_policy::work::ToldLoad;
 
-/// Guards against a second disturbance being ignored as an unchanging figure because it
-/// reports the same value as one long before.
+/// Guards against ignoring a second disturbance as a figure that never changes, because it has the
+/// same value as an earlier one.
 #[test]
 fn an_equal_report_after_a_gap_counts() {
     let start = Instant::now();
@@ -20,9 +20,9 @@
     assert!((speed.disturbance(later) - 2.5).abs() < 1e-9);
 }
 
-/// Guards against a figure that is repeated for seconds being taken for a disturbance.
+/// Guards against taking a figure that is repeated unchanged for seconds for a disturbance.
 #[test]
-fn a_figure_that_stands_still_says_nothing() {
+fn an_unchanging_figure_is_ignored() {
     let start = Instant::now();
     let mut speed = Speed::default();
     for at_ms in (0..=4_000).step_by(500) {
@@ -32,9 +32,9 @@
     assert!((speed.disturbance(now) - 1.0).abs() < 1e-9);
 }
 
-/// Own time per event, in seconds, after events of 50 ms for 2 s and of 125 ms for 0.6 s.
-/// `is_reported`: the upstream reports the second phase.
-fn own_speed_after(is_reported: bool) -> f64 {
+/// Undisturbed time per event, in seconds, after events of 50 ms for 2 s and of 125 ms for 0.6 s.
+/// `is_reported`: the upstream reports the second phase as a disturbance.
+fn undisturbed_s_after(is_reported: bool) -> f64 {
     let start = Instant::now();
     let mut speed = Speed::default();
     speed.note_report(start, 100);
@@ -54,14 +54,14 @@
     speed.own_s().unwrap_or_default()
 }
 
-/// Guards against a reported disturbance that is learnt as the engine's own speed.
+/// Guards against a reported disturbance that enters the undisturbed time of an engine.
 #[test]
-fn a_reported_disturbance_does_not_change_the_own_speed() {
-    let own_s = own_speed_after(true);
-    assert!((own_s / 0.05 - 1.0).abs() < 0.02, "{own_s}");
+fn a_reported_disturbance_does_not_change_the_undisturbed_time() {
+    let event_s = undisturbed_s_after(true);
+    assert!((event_s / 0.05 - 1.0).abs() < 0.02, "{event_s}");
 }
 
-/// Guards against ignoring running calls of this node once the report has expired.
+/// Guards against ignoring the running calls of this node once the report has expired.
 #[test]
 fn own_calls_count_after_a_report_has_expired() {
     let start = Instant::now();
@@ -79,7 +79,7 @@
 
 /// Guards against an upstream that gets no calls because of a high load reported long ago.
 #[test]
-fn an_old_high_load_does_not_count_as_usual() {
+fn an_old_high_load_is_not_in_the_mean() {
     let start = Instant::now();
     let later = start + Duration::from_secs(10);
     let load = |running| ToldLoad {
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -16,33 +16,33 @@
 const SLOW: u32 = 0;
 const FAST: u32 = 1;
 /// Slow, and does not report its speed.
-const SILENT_OF_SPEED: u32 = 2;
+const SLOW_UNREPORTED: u32 = 2;
 const SLOW_EVENT: Duration = Duration::from_millis(200);
 const FAST_EVENT: Duration = Duration::from_millis(50);
 
 struct Pool {
     placement: Placement,
     now: Instant,
-    keys: u64,
+    last_key: u64,
 }
 
 impl Pool {
-    /// Engines that have each run one sample of `events` events.
-    fn taught(events: u32) -> Self {
+    /// Engines that have each completed one sample of `events` events.
+    fn warmed_up(events: u32) -> Self {
         let mut pool = Self {
             placement: Placement::default(),
             now: Instant::now(),
-            keys: 0,
+            last_key: 0,
         };
-        pool.open(&[SLOW, FAST, SILENT_OF_SPEED]);
+        pool.open(&[SLOW, FAST, SLOW_UNREPORTED]);
         pool.report(SLOW, 100);
         pool.report(FAST, 100);
         for (engine, event) in [
             (SLOW, SLOW_EVENT),
             (FAST, FAST_EVENT),
-            (SILENT_OF_SPEED, SLOW_EVENT),
+            (SLOW_UNREPORTED, SLOW_EVENT),
         ] {
-            let key = pool.key();
+            let key = pool.next_key();
             pool.start(key, engine, 0);
             pool.run(key, events, event);
             pool.placement.finish(pool.now, key, DraftEnding::Done);
@@ -50,11 +50,12 @@
         pool
     }
 
-    fn key(&mut self) -> DraftKey {
-        self.keys += 1;
-        DraftKey(self.keys)
+    fn next_key(&mut self) -> DraftKey {
+        self.last_key += 1;
+        DraftKey(self.last_key)
     }
 
+    /// Gives slots to these engines only.
     fn open(&mut self, open: &[u32]) {
         let engine = |key| EngineState {
             key: UpstreamKey(key),
@@ -94,7 +95,7 @@
         self.offer(key, drafted);
         let started = self.placement.next(self.now);
         assert_eq!(started, Some((key, UpstreamKey(engine))));
-        self.open(&[SLOW, FAST, SILENT_OF_SPEED]);
+        self.open(&[SLOW, FAST, SLOW_UNREPORTED]);
     }
 
     fn run(&mut self, key: DraftKey, events: u32, event: Duration) {
@@ -104,9 +105,9 @@
         }
     }
 
-    /// Moves a sample of the slow engine, starts it on another one and runs it there.
+    /// Starts a sample on the slow engine, moves it to `engine` and runs it there.
     fn move_to(&mut self, engine: u32) -> DraftKey {
-        let key = self.key();
+        let key = self.next_key();
         self.start(key, SLOW, 0);
         self.run(key, 2, SLOW_EVENT);
         assert_eq!(self.placement.moves(self.now), [key]);
@@ -117,10 +118,10 @@
     }
 }
 
-/// Guards against a sample that is moved for speed again and again.
+/// Guards against a sample that is moved for speed repeatedly.
 #[test]
 fn a_sample_is_moved_for_speed_once() {
-    let mut pool = Pool::taught(60);
+    let mut pool = Pool::warmed_up(60);
     pool.move_to(SLOW);
     assert_eq!(pool.placement.moves(pool.now), []);
 }
@@ -128,24 +129,24 @@
 /// Guards against a second move from an engine that does not report its speed.
 #[test]
 fn a_moved_sample_stays_on_an_engine_without_reports() {
-    let mut pool = Pool::taught(60);
-    pool.move_to(SILENT_OF_SPEED);
+    let mut pool = Pool::warmed_up(60);
+    pool.move_to(SLOW_UNREPORTED);
     assert_eq!(pool.placement.moves(pool.now), []);
 }
 
-/// Guards against taking a long sample for a short one after it has changed engine.
+/// Guards against forgetting the length of a sample when it moves to another engine.
 #[test]
 fn events_of_earlier_runs_count() {
     for (drafted, is_moved) in [(0, false), (40, true)] {
-        let mut pool = Pool::taught(4);
-        let key = pool.key();
+        let mut pool = Pool::warmed_up(4);
+        let key = pool.next_key();
         pool.start(key, SLOW, drafted);
         pool.run(key, 2, SLOW_EVENT);
         assert_eq!(!pool.placement.moves(pool.now).is_empty(), is_moved);
     }
 }
 
-/// Guards against an engine that is avoided for an outdated expected delay.
+/// Guards against avoiding an engine for an outdated expected delay.
 #[test]
 fn a_delay_ends_when_the_usual_time_becomes_unknown() {
     let engine = |key| EngineState {
@@ -158,10 +159,10 @@
     let mut pool = Pool {
         placement: Placement::default(),
         now: Instant::now(),
-        keys: 0,
+        last_key: 0,
     };
     pool.placement.set_engines(vec![engine(0), engine(1)]);
-    let key = pool.key();
+    let key = pool.next_key();
     pool.offer(key, 0);
     let started = pool.placement.next(pool.now);
     assert_eq!(started, Some((key, UpstreamKey(0))));
@@ -170,7 +171,7 @@
     pool.placement.finish(pool.now, key, DraftEnding::Done);
     pool.placement.set_engines(vec![engine(1), engine(2)]);
     pool.now += Duration::from_secs(5);
-    let key = pool.key();
+    let key = pool.next_key();
     pool.offer(key, 0);
     let started = pool.placement.next(pool.now);
     assert_eq!(started, Some((key, UpstreamKey(1))));
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -1,4 +1,4 @@
-//! Which samples start first, and which drafts are taken away.
+//! Order in which samples start, and drafts that are moved away from silent entries.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,44 +10,44 @@
 
 struct OrderCase {
     name: &'static str,
-    learnt: &'static [(u64, u32)],
+    answers: &'static [(u64, u32)],
     prompts: &'static [u64],
     order: &'static [usize],
 }
 
-/// A step waits for one long sample that started last, though its prompt has
-/// given long answers before.
+/// Guards against a step that waits for one long sample that started last, although earlier answers
+/// to its prompt were long.
 #[test]
 fn long_work_starts_first() {
     let cases = [
         OrderCase {
-            name: "nothing learnt keeps the order",
-            learnt: &[],
+            name: "without answers the order is kept",
+            answers: &[],
             prompts: &[3, 1, 2],
             order: &[0, 1, 2],
         },
         OrderCase {
-            name: "the longest known goes first",
-            learnt: &[(1, 100), (2, 1_000), (3, 10)],
+            name: "the prompt with the longest answer goes first",
+            answers: &[(1, 100), (2, 1_000), (3, 10)],
             prompts: &[1, 2, 3],
             order: &[1, 0, 2],
         },
         OrderCase {
-            name: "an unknown prompt stands at the mean",
-            learnt: &[(1, 1_000), (2, 10)],
+            name: "an unknown prompt is assumed to have the mean length",
+            answers: &[(1, 1_000), (2, 10)],
             prompts: &[2, 9, 1],
             order: &[2, 1, 0],
         },
         OrderCase {
-            name: "a prompt that turned short falls back",
-            learnt: &[(1, 1_000), (2, 400), (1, 10), (1, 10), (1, 10), (1, 10)],
+            name: "a prompt whose answers became short goes behind",
+            answers: &[(1, 1_000), (2, 400), (1, 10), (1, 10), (1, 10), (1, 10)],
             prompts: &[1, 2],
             order: &[1, 0],
         },
     ];
     for case in cases {
         let mut lengths = Lengths::default();
-        for (prompt, tokens) in case.learnt {
+        for (prompt, tokens) in case.answers {
             lengths.learn(*prompt, *tokens);
         }
         let order = lengths.longest_first(case.prompts);
@@ -55,7 +55,7 @@
     }
 }
 
-/// A feed that sees ever new prompts must not grow without end.
+/// Guards against unbounded memory use of a feed with ever new prompts.
 #[test]
 fn old_prompts_are_forgotten() {
     let mut lengths = Lengths::default();
@@ -73,8 +73,8 @@
     moves: usize,
 }
 
-/// When every entry falls silent at once, moving every draft would only double
-/// the load of what is left.
+/// Guards against moving every draft when all entries are silent at the same time, which would only
+/// double the load on the remaining engines.
 #[test]
 fn moves_are_bounded() {
     let cases = [
@@ -91,7 +91,7 @@
             moves: 1_024,
         },
         MovesCase {
-            name: "the plain rules never move",
+            name: "disabled rules never move a draft",
             rules: Rules::PLAIN,
             samples: 4_096,
             moves: 0,
@@ -105,7 +105,7 @@
 #[test]
 fn an_entry_is_silent_after_three_lost_reports() {
     let now = Instant::now() + ENTRY_SILENT;
-    let heard = now.checked_sub(ENTRY_SILENT).expect("after the start");
-    assert!(is_silent(heard, now));
-    assert!(!is_silent(heard + Duration::from_millis(1), now));
+    let last_heard = now.checked_sub(ENTRY_SILENT).expect("after the start");
+    assert!(is_silent(last_heard, now));
+    assert!(!is_silent(last_heard + Duration::from_millis(1), now));
 }
