--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -7,10 +7,10 @@
 use firweir_policy::pool::engines_needed;
 use firweir_policy::pool::order_in_pool;
 use firweir_policy::pool::pool_slice;
-use firweir_policy::waves::Division;
-use firweir_policy::waves::Lag;
-use firweir_policy::waves::Need;
-use firweir_policy::waves::assign;
+use firweir_policy::weight_loads::Division;
+use firweir_policy::weight_loads::Lag;
+use firweir_policy::weight_loads::Need;
+use firweir_policy::weight_loads::assign;
 
 use crate::demand::Demands;
 use crate::fleet::Fleet;
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -13,10 +13,10 @@
 use firweir_policy::load_limit::LoadLimit;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::recurring::pause_after;
-use firweir_policy::waves::EngineWeights;
-use firweir_policy::waves::loads_at_most;
-use firweir_policy::waves::next_loads;
-use firweir_policy::waves::next_loads_of_all;
+use firweir_policy::weight_loads::EngineWeights;
+use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::next_loads;
+use firweir_policy::weight_loads::next_loads_of_all;
 use firweir_policy::work::UpstreamKey;
 use rand::Rng;
 
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -16,10 +16,10 @@
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
-use firweir_policy::waves::Division;
-use firweir_policy::waves::EngineWeights;
-use firweir_policy::waves::loads_at_most;
-use firweir_policy::waves::next_loads;
+use firweir_policy::weight_loads::Division;
+use firweir_policy::weight_loads::EngineWeights;
+use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
 
 /// Engines of the present fleet, ten times as many, and the number that the design targets.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -38,5 +38,5 @@
 pub mod straggler;
 pub mod suspect;
 pub mod tries;
-pub mod waves;
+pub mod weight_loads;
 pub mod work;
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -9,7 +9,7 @@
 //! they agree on the pool without communication, and an engine that joins or leaves moves no other.
 
 use crate::route::mix;
-use crate::waves::SETS;
+use crate::weight_loads::SETS;
 
 /// Part of an engine's slots that a step is to fill: half-full engines lose no speed, and have
 /// free slots for the samples of an engine that is lost.
--- a/crates/policy/tests/waves.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -6,13 +6,13 @@
 use firweir_policy::pool::order_in_pool;
 use firweir_policy::step_order::Sample;
 use firweir_policy::step_order::ranks;
-use firweir_policy::waves::Division;
-use firweir_policy::waves::EngineWeights;
-use firweir_policy::waves::Lag;
-use firweir_policy::waves::Need;
-use firweir_policy::waves::assign;
-use firweir_policy::waves::loads_at_most;
-use firweir_policy::waves::next_loads;
+use firweir_policy::weight_loads::Division;
+use firweir_policy::weight_loads::EngineWeights;
+use firweir_policy::weight_loads::Lag;
+use firweir_policy::weight_loads::Need;
+use firweir_policy::weight_loads::assign;
+use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
 use proptest::prelude::*;
 
@@ -246,8 +246,8 @@
     }
 }
 
-/// Reference implementation of the plan in `waves`: orders one load at a time and compares every
-/// pair, which is slow on many engines.
+/// Reference implementation of the plan in `weight_loads`: orders one load at a time and compares
+/// every pair, which is slow on many engines.
 fn reference_loads(weights: &[EngineWeights], at_once: usize, a_version: usize) -> Vec<usize> {
     let mut planned = weights.to_vec();
     let mut loads = Vec::new();
