--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -29,7 +29,7 @@
 /// affinity, zone and speed.
 pub const CANDIDATES: usize = 6;
 
-/// Mixes the bits of a hash (the `SplitMix64` finalizer).
+/// Mixes the bits of a hash (one step of `SplitMix64`).
 #[must_use]
 pub const fn mix(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -1,5 +1,5 @@
-//! Calls of a training step beside callers of the same plain service: what both get,
-//! played without a network.
+//! Simulates calls of training steps next to live callers of the same plain service, without a
+//! network.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,22 +19,22 @@
 use firweir_policy::work::Work;
 use firweir_policy::work::WorkKey;
 
-/// Time of one look.
+/// Time step of the simulation.
 const STEP_MS: u64 = 1;
 
-/// A caller's request takes this long on a free upstream.
-const CALLER_MS: u64 = 25;
+/// Service time of a caller's request.
+const CALLER_SERVICE_MS: u64 = 25;
 
-/// A caller comes each this many milliseconds.
-const CALLER_EVERY_MS: u64 = 90;
+/// Interval between requests of callers.
+const CALLER_INTERVAL_MS: u64 = 90;
 
-/// Longer than this and a caller's answer is late.
-const CALLER_AIM_MS: u64 = 150;
+/// Response time above which a caller's answer is late.
+const CALLER_OBJECTIVE_MS: u64 = 150;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Request {
     Caller {
-        came_ms: u64,
+        arrived_ms: u64,
     },
     Call {
         sender: usize,
@@ -45,25 +45,26 @@
 
 #[derive(Debug, Default)]
 struct Upstream {
-    /// Requests that run, with the times of their ends.
+    /// Requests that run, with their end times.
     running: Vec<(Request, u64)>,
+    /// Requests that wait, with their service times.
     waiting: VecDeque<(Request, u64)>,
 }
 
 impl Upstream {
-    /// Ends and starts what is due; gives what has ended.
+    /// Ends and starts the requests that are due. Returns those that ended.
     fn step(&mut self, now_ms: u64, slots: usize) -> Vec<Request> {
-        let is_over = |(_, end_ms): &(Request, u64)| *end_ms <= now_ms;
+        let is_ended = |(_, end_ms): &(Request, u64)| *end_ms <= now_ms;
         let ended: Vec<Request> = self
             .running
-            .extract_if(.., |held| is_over(held))
+            .extract_if(.., |request| is_ended(request))
             .map(|(request, _)| request)
             .collect();
         while self.running.len() < slots {
-            let Some((request, takes_ms)) = self.waiting.pop_front() else {
+            let Some((request, service_ms)) = self.waiting.pop_front() else {
                 break;
             };
-            self.running.push((request, now_ms + takes_ms));
+            self.running.push((request, now_ms + service_ms));
         }
         ended
     }
@@ -72,13 +73,13 @@
 struct Load {
     upstreams: usize,
     slots: usize,
-    /// Calls of each sender's step.
+    /// Number of calls in the step of each sender.
     calls: u64,
     senders: usize,
     call_ms: u64,
     due_ms: u64,
-    /// Sends every call at once, as a sender without this policy does.
-    greedy: bool,
+    /// Sends all calls at once, without this dispatcher.
+    is_greedy: bool,
 }
 
 impl Load {
@@ -90,14 +91,14 @@
             senders: 1,
             call_ms: 200,
             due_ms: 6_000,
-            greedy: false,
+            is_greedy: false,
         }
     }
 }
 
 impl Load {
-    /// Half to one and a half times the usual time, the same in each run.
-    fn takes_ms(&self, sender: usize, work: WorkKey) -> u64 {
+    /// Service time: between half and one and a half times `call_ms`, the same in each run.
+    fn service_ms(&self, sender: usize, work: WorkKey) -> u64 {
         let spread = mix(work.0 * 2 + sender as u64) % 100;
         self.call_ms * (50 + spread) / 100
     }
@@ -107,7 +108,7 @@
 struct Outcome {
     callers: usize,
     callers_late: usize,
-    calls_done_ms: u64,
+    calls_ended_ms: u64,
 }
 
 fn states(load: &Load) -> Vec<UpstreamState> {
@@ -135,8 +136,9 @@
     }
 }
 
-/// Plays a step's calls that come all at once beside callers that come one by one.
-fn play(load: &Load) -> Outcome {
+/// Simulates the calls of each sender's step, which arrive all at once, next to callers that
+/// arrive one by one.
+fn simulate(load: &Load) -> Outcome {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut upstreams: Vec<Upstream> = (0..load.upstreams).map(|_| Upstream::default()).collect();
@@ -145,7 +147,7 @@
         sender.set_upstreams(start, &states(load), &Fleet::ALONE);
         (0..load.calls).for_each(|key| sender.offer(start, work(key, at(load.due_ms))));
     }
-    if load.greedy {
+    if load.is_greedy {
         senders.clear();
         for key in 0..load.calls {
             let request = Request::Call {
@@ -153,41 +155,45 @@
                 work: WorkKey(key),
                 sent_ms: 0,
             };
-            let to = key as usize % load.upstreams;
-            upstreams[to].waiting.push_back((request, load.call_ms));
+            let upstream_index = key as usize % load.upstreams;
+            upstreams[upstream_index]
+                .waiting
+                .push_back((request, load.call_ms));
         }
     }
     let mut outcome = Outcome {
         callers: 0,
         callers_late: 0,
-        calls_done_ms: 0,
+        calls_ended_ms: 0,
     };
-    let mut left = load.calls * load.senders as u64;
+    let mut calls_left = load.calls * load.senders as u64;
     let mut now_ms = 0;
     let mut answered = 0;
-    while left > 0 || answered < outcome.callers {
-        assert!(now_ms < 60_000, "calls are never done: {left} left");
-        if left > 0 && now_ms % CALLER_EVERY_MS == 0 {
-            let to = outcome.callers % load.upstreams;
-            let request = Request::Caller { came_ms: now_ms };
-            upstreams[to].waiting.push_back((request, CALLER_MS));
+    while calls_left > 0 || answered < outcome.callers {
+        assert!(now_ms < 60_000, "calls never end: {calls_left} left");
+        if calls_left > 0 && now_ms % CALLER_INTERVAL_MS == 0 {
+            let upstream_index = outcome.callers % load.upstreams;
+            let request = Request::Caller { arrived_ms: now_ms };
+            upstreams[upstream_index]
+                .waiting
+                .push_back((request, CALLER_SERVICE_MS));
             outcome.callers += 1;
         }
-        for (at_sender, sender) in senders.iter_mut().enumerate() {
+        for (sender_index, sender) in senders.iter_mut().enumerate() {
             if now_ms % 100 == 0 {
                 sender.tick(at(now_ms));
             }
             while let Some(decision) = sender.next_decision() {
                 let Decision::Start { work, upstream } = decision else {
-                    panic!("a call was refused: {decision:?}");
+                    panic!("call was refused: {decision:?}");
                 };
                 let request = Request::Call {
-                    sender: at_sender,
+                    sender: sender_index,
                     work,
                     sent_ms: now_ms,
                 };
                 let waiting = &mut upstreams[upstream.0 as usize].waiting;
-                waiting.push_back((request, load.takes_ms(at_sender, work)));
+                waiting.push_back((request, load.service_ms(sender_index, work)));
             }
         }
         for upstream in &mut upstreams {
@@ -199,9 +205,9 @@
                     time_percent: None,
                 };
                 match ended {
-                    Request::Caller { came_ms } => {
+                    Request::Caller { arrived_ms } => {
                         answered += 1;
-                        let late = now_ms - came_ms > CALLER_AIM_MS;
+                        let late = now_ms - arrived_ms > CALLER_OBJECTIVE_MS;
                         outcome.callers_late += usize::from(late);
                     }
                     Request::Call {
@@ -209,8 +215,8 @@
                         work,
                         sent_ms,
                     } => {
-                        left -= 1;
-                        outcome.calls_done_ms = now_ms;
+                        calls_left -= 1;
+                        outcome.calls_ended_ms = now_ms;
                         let finish = Finish {
                             ending: Ending::Answered,
                             elapsed: Duration::from_millis(now_ms - sent_ms),
@@ -232,20 +238,21 @@
 struct Case {
     name: &'static str,
     load: Load,
-    /// Callers whose answer may be late, of a hundred.
-    late_percent: usize,
-    done_within_ms: u64,
+    /// Highest percentage of callers whose answer is late.
+    max_late_percent: usize,
+    max_ended_ms: u64,
 }
 
-/// Guards against callers that wait behind the reward calls of a whole step.
+/// Guards against callers that wait behind the reward calls of a whole step, and against steps
+/// that end too late because of pacing.
 #[test]
 fn what_callers_and_steps_get() {
     let cases = [
         Case {
             name: "calm: callers notice nothing, and the step has time to spare",
             load: Load::step(),
-            late_percent: 0,
-            done_within_ms: 2_400,
+            max_late_percent: 0,
+            max_ended_ms: 2_400,
         },
         Case {
             name: "two steps of two nodes, which do not know of each other",
@@ -253,8 +260,8 @@
                 senders: 2,
                 ..Load::step()
             },
-            late_percent: 5,
-            done_within_ms: 4_500,
+            max_late_percent: 5,
+            max_ended_ms: 4_500,
         },
         Case {
             name: "everything five times slower",
@@ -263,8 +270,8 @@
                 due_ms: 30_000,
                 ..Load::step()
             },
-            late_percent: 0,
-            done_within_ms: 12_000,
+            max_late_percent: 0,
+            max_ended_ms: 12_000,
         },
         Case {
             name: "everything five times faster",
@@ -273,8 +280,8 @@
                 due_ms: 1_200,
                 ..Load::step()
             },
-            late_percent: 0,
-            done_within_ms: 480,
+            max_late_percent: 0,
+            max_ended_ms: 480,
         },
         Case {
             name: "short: all places are used, once the first answers tell how long calls take",
@@ -282,8 +289,8 @@
                 due_ms: 1_000,
                 ..Load::step()
             },
-            late_percent: 100,
-            done_within_ms: 1_300,
+            max_late_percent: 100,
+            max_ended_ms: 1_300,
         },
         Case {
             name: "one upstream is left",
@@ -292,36 +299,36 @@
                 calls: 40,
                 ..Load::step()
             },
-            late_percent: 0,
-            done_within_ms: 5_500,
+            max_late_percent: 0,
+            max_ended_ms: 5_500,
         },
     ];
     for case in cases {
-        let outcome = play(&case.load);
+        let outcome = simulate(&case.load);
         let late_percent = outcome.callers_late * 100 / outcome.callers.max(1);
         assert!(
-            late_percent <= case.late_percent,
+            late_percent <= case.max_late_percent,
             "{}: {outcome:?}",
             case.name
         );
-        let done_ms = outcome.calls_done_ms;
-        assert!(done_ms <= case.done_within_ms, "{}: {outcome:?}", case.name);
+        let ended_ms = outcome.calls_ended_ms;
+        assert!(ended_ms <= case.max_ended_ms, "{}: {outcome:?}", case.name);
     }
 }
 
-/// The load that the policy answers is one: sent all at once, the same calls make
-/// callers late.
+/// Checks that the simulated load needs pacing: sent all at once, the same calls make more than
+/// half of the callers late.
 #[test]
 fn without_pacing_callers_are_late() {
-    let outcome = play(&Load {
-        greedy: true,
+    let outcome = simulate(&Load {
+        is_greedy: true,
         ..Load::step()
     });
     assert!(outcome.callers_late * 2 > outcome.callers, "{outcome:?}");
 }
 
-/// A step stood still for seconds: calls to an upstream that had crashed were sent to it
-/// again and again, since it was the one with the fewest of them.
+/// Guards against a step that stalls for seconds: a crashed upstream has the fewest calls in
+/// flight, so that all failed calls were sent to it again.
 #[test]
 fn a_failing_upstream_is_left_alone() {
     let now = Instant::now();
@@ -351,12 +358,12 @@
     assert_eq!(sent, 96);
     assert!(
         failed <= 5,
-        "{failed} calls went to an upstream that nothing listens at"
+        "{failed} calls went to an upstream that does not listen"
     );
 }
 
-/// A call whose step is past its time was refused and its sample never listed. It is
-/// served with the first place that is free.
+/// Guards against refusing a call whose step is past its due time, whose sample then never
+/// ends: it gets the first free slot.
 #[test]
 fn a_call_past_its_time_is_served_first() {
     let now = Instant::now();
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -1,4 +1,4 @@
-//! Whether an upstream that many nodes share has room for one more call of this node.
+//! Tests the estimate of whether an upstream that many nodes share has room for one more call.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -1,4 +1,4 @@
-//! How entries divide limits: the sum over all of them, whatever they know.
+//! How entries divide limits, choose subsets of the upstreams and retry work.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -48,7 +48,8 @@
     },
 ];
 
-/// With equal views the parts sum to the limit at each upstream, to the slot.
+/// Where all entries know the same demands, their slots sum exactly to the limit of each
+/// upstream.
 #[test]
 fn equal_views_share_the_limit_exactly() {
     for case in &CASES {
@@ -69,7 +70,7 @@
     }
 }
 
-/// A busy entry gets what quiet ones do not need.
+/// A busy entry gets the slots that idle ones do not need.
 #[test]
 fn a_busy_entry_gets_most_of_the_limit() {
     let fleet = Fleet {
@@ -80,8 +81,8 @@
     assert!(Part::of(&fleet, 384.0).width() > 0.8);
 }
 
-/// An entry is cut off from its peers and takes them for dead. If it then took
-/// the whole limit, the upstreams would get twice the limit or more.
+/// Guards against overload by an entry that is partitioned from its peers and takes them for
+/// dead: if it used the whole limit, the upstreams would get twice the limit or more.
 #[test]
 fn an_entry_that_is_cut_off_takes_an_equal_part_only() {
     let alone = Fleet {
@@ -92,8 +93,8 @@
     assert!(Part::of(&alone, 384.0).width() <= 1.0 / 9.0 + 1e-9);
 }
 
-/// Demand moves from one entry to another, and the second hears of it first.
-/// If it used its larger part at once, both parts would be in use together.
+/// Guards against using a larger share before the other entry has reduced its own: demand moves
+/// from one entry to another, and the one that gains learns of it first.
 #[test]
 fn a_larger_part_waits_until_the_others_have_learnt_of_it() {
     let start = Instant::now();
@@ -118,8 +119,8 @@
     assert!(rising.get(at(20_000)).width() > 0.8);
 }
 
-/// Subsets of all entries together cover thousands of upstreams evenly: none
-/// is left out, none is used by a multiple of the entries that use another.
+/// The subsets of all entries cover thousands of upstreams evenly: each upstream is in 3 to 6
+/// subsets.
 #[test]
 fn subsets_cover_the_upstreams_evenly() {
     let upstreams: Vec<UpstreamState> = (0..4_800)
@@ -143,8 +144,7 @@
     assert!(least >= Some(&3) && most <= Some(&6), "{least:?} {most:?}");
 }
 
-/// Every call fails. Retries that follow each failure would double the load
-/// that made the upstreams fail.
+/// Guards against retries that double the load on failing upstreams when every call fails.
 #[test]
 fn retries_add_a_tenth_at_most() {
     let mut budget = Budget::default();
@@ -164,7 +164,7 @@
     allowed: bool,
 }
 
-/// Work that may have run is never sent again unless it is idempotent.
+/// Work that may have run is retried only if it is idempotent.
 #[test]
 fn only_safe_work_is_tried_again() {
     let case = |ending, idempotent, tries, allowed| RetryCase {
--- a/crates/policy/tests/siting.rs
+++ b/crates/policy/tests/siting.rs
@@ -7,7 +7,7 @@
 const LARGE: f64 = 1.0;
 const SMALL: f64 = 0.06;
 
-/// A fleet with so many large VMs among small ones; the large ones come first.
+/// Candidates on so many large and small VMs; the large ones come first.
 fn fleet(large: u32, small: u32) -> Vec<Candidate> {
     let candidate = |node: u32| Candidate {
         node: NodeKey(node),
@@ -18,8 +18,8 @@
     (0..large + small).map(candidate).collect()
 }
 
-/// Homes of so many models, settled one after the other.
-fn settle(fleet: &mut [Candidate], models: u64) -> Vec<NodeKey> {
+/// Chooses homes for so many models, one after the other.
+fn choose_homes(fleet: &mut [Candidate], models: u64) -> Vec<NodeKey> {
     let mut homes = Vec::new();
     for model in 0..models {
         let (home, _) = best_home(model, fleet).expect("there are nodes");
@@ -34,12 +34,12 @@
     large: u32,
     small: u32,
     models: u64,
-    /// Most models that a large VM, and a small one, may be home of.
+    /// Highest number of models on a large VM and on a small one.
     most_large: u32,
     most_small: u32,
 }
 
-/// Guards against trainers that wait for a small VM while large ones are idle.
+/// Guards against a home on a small VM, which cannot keep up, while large VMs are idle.
 #[test]
 fn large_vms_are_filled_first() {
     let cases = [
@@ -78,7 +78,7 @@
     ];
     for case in cases {
         let mut fleet = fleet(case.large, case.small);
-        settle(&mut fleet, case.models);
+        choose_homes(&mut fleet, case.models);
         let (large, small) = fleet.split_at(case.large as usize);
         let most = |held: &[Candidate]| held.iter().map(|node| node.homes).max().unwrap_or(0);
         assert!(most(large) <= case.most_large, "{}: large", case.name);
@@ -86,7 +86,7 @@
     }
 }
 
-/// Guards against all first steps of a fleet meeting at one node.
+/// Guards against the same home for all models whose first steps arrive at the same time.
 #[test]
 fn models_that_come_at_once_are_spread() {
     let fleet = fleet(50, 784);
@@ -100,7 +100,8 @@
     assert_eq!(best_home(1, &[]), None);
 }
 
-/// Guards against a small home for a model, since the one that was asked knows no large VM.
+/// Guards against a small home because the node that was asked knows no large VM: several nodes
+/// are asked, and the best answer is used.
 #[test]
 fn the_best_of_several_finds_is_the_best_of_all() {
     let fleet = fleet(3, 60);
--- a/crates/policy/tests/suspect.rs
+++ b/crates/policy/tests/suspect.rs
@@ -1,5 +1,4 @@
-//! Suspects: sequences of losses, answers and reports, and how a request may run
-//! after them.
+//! Restrictions on a request after sequences of losses, answers and reports.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,9 +14,9 @@
 enum Event {
     Lost,
     Answered,
-    /// What two other VMs count for the request.
+    /// Losses of the request that two other VMs report.
     Reports(u32, u32),
-    /// What the first of them tells directly.
+    /// Losses that the first of them sends ahead of its report.
     Notice(u32),
     Wait(Duration),
 }
@@ -36,8 +35,8 @@
     standing: Standing,
 }
 
-/// Guards against a request that crashes upstream after upstream, and against blame for those
-/// beside it.
+/// Guards against a request that crashes one upstream after another, and against quarantine of
+/// requests that were only in flight at the same upstream.
 #[test]
 fn a_request_is_tried_alone_then_quarantined_then_cleared() {
     let cases = [
