--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -14,7 +14,7 @@
 
 use crate::lane::Room;
 use crate::lane::Serving;
-use crate::route::mix;
+use crate::route::splitmix64;
 use crate::work::Ending;
 use crate::work::Finish;
 use crate::work::ToldLoad;
@@ -235,7 +235,7 @@
     }
 
     fn jitter(&mut self) -> f64 {
-        self.random = mix(self.random);
+        self.random = splitmix64(self.random);
         let part = self.random as f64 / u64::MAX as f64;
         MIN_JITTER + (MAX_JITTER - MIN_JITTER) * part
     }
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -8,7 +8,7 @@
 //! model by the same hash (rendezvous hashing) and search only the beginning of that order. So
 //! they agree on the pool without communication, and an engine that joins or leaves moves no other.
 
-use crate::route::mix;
+use crate::route::splitmix64;
 use crate::weight_loads::SETS;
 
 /// Part of an engine's slots that a step is to fill: half-full engines lose no speed, and have
@@ -37,7 +37,7 @@
 /// Position of an engine in the order of a model's engines, from the hashes of their names.
 #[must_use]
 pub const fn order_in_pool(engine: u64, model: u64) -> u64 {
-    mix(engine ^ mix(model))
+    splitmix64(engine ^ splitmix64(model))
 }
 
 /// Beginning of a model's order of engines: all engines whose position has at least so many
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -29,9 +29,9 @@
 /// affinity, zone and speed.
 pub const CANDIDATES: usize = 6;
 
-/// Mixes the bits of a hash (one step of `SplitMix64`).
+/// Mixes the bits of a hash.
 #[must_use]
-pub const fn mix(value: u64) -> u64 {
+pub const fn splitmix64(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -45,7 +45,7 @@
         return upstreams.to_vec();
     }
     let mut sorted = upstreams.to_vec();
-    sorted.sort_unstable_by_key(|state| (!state.local_zone, mix(state.hash)));
+    sorted.sort_unstable_by_key(|state| (!state.local_zone, splitmix64(state.hash)));
     let local_count = sorted.partition_point(|state| state.local_zone);
     let (local_upstreams, other_upstreams) = sorted.split_at(local_count);
     let local_target = SUBSET_LOCAL_SIZE
@@ -90,7 +90,8 @@
         for (index, hash) in hashes.enumerate() {
             upstreams += 1;
             points.extend(
-                (0..POINTS_PER_UPSTREAM).map(|point| (mix(hash ^ mix(point)), index as u32)),
+                (0..POINTS_PER_UPSTREAM)
+                    .map(|point| (splitmix64(hash ^ splitmix64(point)), index as u32)),
             );
         }
         points.sort_unstable();
@@ -100,7 +101,7 @@
     /// First distinct upstreams from the point of this prompt prefix on.
     #[must_use]
     pub fn candidates(&self, prefix: u64) -> Candidates {
-        let point = mix(prefix);
+        let point = splitmix64(prefix);
         let start = self.points.partition_point(|(at, _)| *at < point);
         let wanted = CANDIDATES.min(self.upstreams);
         let mut found = Candidates::default();
--- a/crates/policy/src/siting.rs
+++ b/crates/policy/src/siting.rs
@@ -11,7 +11,7 @@
 
 use std::cmp::Ordering;
 
-use crate::route::mix;
+use crate::route::splitmix64;
 
 /// Identifies a node among the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -61,7 +61,7 @@
 pub fn best_home(model: u64, candidates: &[Candidate]) -> Option<(NodeKey, Worth)> {
     let worth = |candidate: &Candidate| Worth {
         share: candidate.share(),
-        order: mix(candidate.hash ^ mix(model)),
+        order: splitmix64(candidate.hash ^ splitmix64(model)),
     };
     let scored = candidates
         .iter()
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -10,7 +10,7 @@
 use crate::limit::Limit;
 use crate::route::Ring;
 use crate::route::Weighed;
-use crate::route::mix;
+use crate::route::splitmix64;
 use crate::route::subset;
 use crate::share::HeldPart;
 use crate::speed::CallSpeed;
@@ -156,7 +156,7 @@
         let part = self.part.get(now);
         for upstream in &mut self.upstreams {
             let limit_of_all = limit.of(f64::from(upstream.state.limit)) * self.scale;
-            let offset = mix(upstream.state.hash) as f64 / u64::MAX as f64;
+            let offset = splitmix64(upstream.state.hash) as f64 / u64::MAX as f64;
             upstream.share = part.slots(limit_of_all, offset);
         }
         if self.upstreams.iter().all(|upstream| upstream.share == 0) {
@@ -165,7 +165,7 @@
             let receiver = self
                 .upstreams
                 .iter_mut()
-                .min_by_key(|upstream| mix(upstream.state.hash));
+                .min_by_key(|upstream| splitmix64(upstream.state.hash));
             if let Some(upstream) = receiver {
                 upstream.share = 1;
             }
@@ -255,7 +255,7 @@
             return None;
         }
         let count = self.upstreams.len();
-        let start = (mix(prefix) % count.max(1) as u64) as usize;
+        let start = (splitmix64(prefix) % count.max(1) as u64) as usize;
         let rotated = (start..count).chain(0..start);
         self.best(now, rotated.clone(), None, avoid)
             .or_else(|| self.best(now, rotated, None, &[]))
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -8,7 +8,7 @@
 use firweir_policy::background::Background;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::route::mix;
+use firweir_policy::route::splitmix64;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::Finish;
@@ -99,7 +99,7 @@
 impl Load {
     /// Service time: between half and one and a half times `call_ms`, the same in each run.
     fn service_ms(&self, sender: usize, work: WorkKey) -> u64 {
-        let spread = mix(work.0 * 2 + sender as u64) % 100;
+        let spread = splitmix64(work.0 * 2 + sender as u64) % 100;
         self.call_ms * (50 + spread) / 100
     }
 }
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -11,7 +11,7 @@
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::route::mix;
+use firweir_policy::route::splitmix64;
 use firweir_policy::tries::Tries;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
@@ -170,7 +170,7 @@
     }
 
     fn random(&mut self) -> u64 {
-        self.random = mix(self.random);
+        self.random = splitmix64(self.random);
         self.random
     }
 
@@ -212,7 +212,7 @@
             key,
             class: Class::Live,
             caller: self.offers[call.offer].account,
-            prefix: mix(call.node as u64),
+            prefix: splitmix64(call.node as u64),
             cost_tokens: 1,
             priority: self.offers[call.offer].priority,
             deadline: call.offered + PATIENCE,
@@ -388,6 +388,6 @@
 fn dispatcher(start: Instant, shared: bool, node: usize, states: &[UpstreamState]) -> Balanced {
     let mut dispatcher = Balanced::new();
     dispatcher.set_upstreams(start, states, &Fleet::ALONE);
-    dispatcher.set_shared(start, shared.then(|| mix(node as u64)));
+    dispatcher.set_shared(start, shared.then(|| splitmix64(node as u64)));
     dispatcher
 }
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -5,7 +5,7 @@
 
 use firweir_policy::retry::Budget;
 use firweir_policy::route::SUBSET;
-use firweir_policy::route::mix;
+use firweir_policy::route::splitmix64;
 use firweir_policy::route::subset;
 use firweir_policy::share::HeldPart;
 use firweir_policy::share::Part;
@@ -55,7 +55,7 @@
     for case in &CASES {
         let capacity = case.limit * f64::from(case.upstreams);
         for upstream in 0..case.upstreams {
-            let offset = mix(u64::from(upstream)) as f64 / u64::MAX as f64;
+            let offset = splitmix64(u64::from(upstream)) as f64 / u64::MAX as f64;
             let slots = |rank| {
                 let fleet = Fleet {
                     demands: case.demands,
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -8,7 +8,7 @@
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::limit::Limit;
-use firweir_policy::route::mix;
+use firweir_policy::route::splitmix64;
 use firweir_policy::slots::Slots;
 use firweir_policy::speed::CallSpeed;
 use firweir_policy::speed::Peers;
@@ -68,14 +68,14 @@
 
 /// Whether noisy neighbours slow the upstream down: the first one, for 0.6 s in each 1.8 s.
 fn is_disturbed(upstream: usize, at_ms: u64) -> bool {
-    let start_ms = mix(at_ms / 1_800) % 1_200;
+    let start_ms = splitmix64(at_ms / 1_800) % 1_200;
     upstream == 0 && (start_ms..start_ms + 600).contains(&(at_ms % 1_800))
 }
 
 fn upstream_state(key: u32) -> UpstreamState {
     UpstreamState {
         key: UpstreamKey(key),
-        hash: mix(u64::from(key)),
+        hash: splitmix64(u64::from(key)),
         local_zone: true,
         leaving: false,
         limit: SLOTS as u32,
@@ -109,11 +109,11 @@
 
     fn offer(&mut self, per_s: u64) {
         for part in 0..4 {
-            let random = mix(self.now_ms << 8 | part);
+            let random = splitmix64(self.now_ms << 8 | part);
             if random % 4_000 >= per_s {
                 continue;
             }
-            let node = (mix(random) % NODES as u64) as usize;
+            let node = (splitmix64(random) % NODES as u64) as usize;
             let work = WorkKey(self.offers_ms.len() as u64);
             self.offers_ms.push(self.now_ms);
             if self.choice == Choice::PowerOfTwo {
@@ -139,8 +139,8 @@
     }
 
     fn less_loaded_of_two(&self, node: usize, random: u64) -> usize {
-        let first = (mix(random ^ 1) % UPSTREAMS as u64) as usize;
-        let second = (first + 1 + (mix(random ^ 2) % 2) as usize) % UPSTREAMS;
+        let first = (splitmix64(random ^ 1) % UPSTREAMS as u64) as usize;
+        let second = (first + 1 + (splitmix64(random ^ 2) % 2) as usize) % UPSTREAMS;
         let reports = &self.reports[node];
         let peers = Peers::of(self.now(), reports.iter().flatten());
         let load = |at: usize| {
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -10,7 +10,7 @@
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
-use firweir_policy::route::mix;
+use firweir_policy::route::splitmix64;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 
@@ -90,17 +90,17 @@
 
 /// Whether noisy neighbours slow the engine down: every sixth one, for 0.6 s in each 1.8 s.
 fn is_disturbed(engine: u32, at_ms: u64) -> bool {
-    let start_ms = mix(u64::from(engine) << 32 | (at_ms / 1_800)) % 1_200;
+    let start_ms = splitmix64(u64::from(engine) << 32 | (at_ms / 1_800)) % 1_200;
     engine % 6 == 1 && (start_ms..start_ms + 600).contains(&(at_ms % 1_800))
 }
 
 /// Random number of events of a sample: 21 on average, at most 152.
 fn random_events(seed: u64, sample: u64) -> u64 {
-    let random = mix(seed << 32 | sample);
+    let random = splitmix64(seed << 32 | sample);
     if random.is_multiple_of(12) {
-        40 + mix(random) % 113
+        40 + splitmix64(random) % 113
     } else {
-        4 + mix(random) % 21
+        4 + splitmix64(random) % 21
     }
 }
 
