--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -20,7 +20,7 @@
 use crate::estimate::Estimate;
 use crate::health::Health;
 use crate::health::ejections_allowed;
-use crate::route::Weighed;
+use crate::route::ScoreInputs;
 use crate::work::Ending;
 use crate::work::Finish;
 use crate::work::Fleet;
@@ -150,16 +150,16 @@
     }
 
     fn score(&self, now: Instant) -> f64 {
-        let weighed = Weighed {
+        let inputs = ScoreInputs {
             in_flight: self.in_flight + self.others(now),
             slots: self.state.limit,
             reported_load: None,
             slowness: self.health.slowness(),
             local_zone: self.state.local_zone,
-            first: false,
-            probing: self.health.is_on_trial(),
+            first_on_ring: false,
+            probe_first: self.health.is_on_trial(),
         };
-        weighed.score()
+        inputs.score()
     }
 }
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -15,11 +15,11 @@
 
 /// Number of upstreams that one entry uses: hundreds of entries cover thousands of upstreams
 /// several times over, and a scan stays short.
-pub const SUBSET: usize = 48;
+pub const SUBSET_SIZE: usize = 48;
 
 /// Number of upstreams of the subset in the entry's own availability zone, if there are enough:
 /// calls then cross zones only when the own zone is full.
-const SUBSET_LOCAL_SIZE: usize = SUBSET / 2;
+const LOCAL_SUBSET_SIZE: usize = SUBSET_SIZE / 2;
 
 /// Points of each upstream on the ring: the parts of the ring then differ by about a third, which
 /// the choice among candidates evens out.
@@ -27,7 +27,7 @@
 
 /// Candidates for one piece of work: two already balance load well; more allow a choice by
 /// affinity, zone and speed.
-pub const CANDIDATES: usize = 6;
+pub const MAX_CANDIDATES: usize = 6;
 
 /// Mixes the bits of a hash.
 #[must_use]
@@ -41,22 +41,22 @@
 /// Subset of `upstreams` for the entry with this rank (from 0) among so many entries.
 #[must_use]
 pub fn subset(upstreams: &[UpstreamState], rank: usize, entries: usize) -> Vec<UpstreamState> {
-    if upstreams.len() <= SUBSET {
+    if upstreams.len() <= SUBSET_SIZE {
         return upstreams.to_vec();
     }
     let mut sorted = upstreams.to_vec();
     sorted.sort_unstable_by_key(|state| (!state.local_zone, splitmix64(state.hash)));
     let local_count = sorted.partition_point(|state| state.local_zone);
     let (local_upstreams, other_upstreams) = sorted.split_at(local_count);
-    let local_target = SUBSET_LOCAL_SIZE
+    let local_target = LOCAL_SUBSET_SIZE
         .min(local_upstreams.len())
-        .max(SUBSET.saturating_sub(other_upstreams.len()));
+        .max(SUBSET_SIZE.saturating_sub(other_upstreams.len()));
     let mut chosen = window(local_upstreams, rank, entries, local_target);
     chosen.extend(window(
         other_upstreams,
         rank,
         entries,
-        SUBSET - local_target,
+        SUBSET_SIZE - local_target,
     ));
     chosen
 }
@@ -103,7 +103,7 @@
     pub fn candidates(&self, prefix: u64) -> Candidates {
         let point = splitmix64(prefix);
         let start = self.points.partition_point(|(at, _)| *at < point);
-        let wanted = CANDIDATES.min(self.upstreams);
+        let wanted = MAX_CANDIDATES.min(self.upstreams);
         let mut found = Candidates::default();
         let mut visited = 0;
         while found.count < wanted && visited < self.points.len() {
@@ -121,7 +121,7 @@
 /// Candidates in ring order; the first most likely has the prompt prefix in its cache.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Candidates {
-    indexes: [u32; CANDIDATES],
+    indexes: [u32; MAX_CANDIDATES],
     count: usize,
 }
 
@@ -135,7 +135,7 @@
 
 /// Properties of an upstream that its score depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Weighed {
+pub struct ScoreInputs {
     /// Requests of this entry in flight there.
     pub in_flight: u32,
     /// Slots there for this entry.
@@ -148,9 +148,9 @@
     /// In the entry's own availability zone.
     pub local_zone: bool,
     /// First on the ring for this prefix.
-    pub first: bool,
+    pub first_on_ring: bool,
     /// Its ejection for failures is over, and the next work probes it.
-    pub probing: bool,
+    pub probe_first: bool,
 }
 
 /// Score penalty of another zone, in load. Two crossings of about a millisecond are negligible
@@ -166,11 +166,11 @@
 /// free slots.
 const PROBE_SCORE: f64 = -1.0;
 
-impl Weighed {
+impl ScoreInputs {
     /// Score of the upstream; lower is better.
     #[must_use]
     pub fn score(&self) -> f64 {
-        if self.probing {
+        if self.probe_first {
             return PROBE_SCORE;
         }
         let own_load = f64::from(self.in_flight + 1) / f64::from(self.slots.max(1));
@@ -180,7 +180,11 @@
         } else {
             OTHER_ZONE_PENALTY
         };
-        let cache = if self.first { CACHED_PREFIX_BONUS } else { 0.0 };
+        let cache = if self.first_on_ring {
+            CACHED_PREFIX_BONUS
+        } else {
+            0.0
+        };
         load * self.slowness + zone - cache
     }
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -9,7 +9,7 @@
 use crate::health::ejections_allowed;
 use crate::limit::Limit;
 use crate::route::Ring;
-use crate::route::Weighed;
+use crate::route::ScoreInputs;
 use crate::route::splitmix64;
 use crate::route::subset;
 use crate::share::HeldPart;
@@ -277,16 +277,16 @@
             let load = upstream
                 .speed
                 .map(|speed| speed.load_with_one(now, upstream.in_flight, &self.peers));
-            let weighed = Weighed {
+            let inputs = ScoreInputs {
                 in_flight: upstream.in_flight,
                 slots: upstream.open,
                 reported_load: load,
                 slowness: upstream.slowness(now, &self.peers),
                 local_zone: upstream.state.local_zone,
-                first: first_candidate == Some(index as u32),
-                probing: upstream.health.is_on_trial(),
+                first_on_ring: first_candidate == Some(index as u32),
+                probe_first: upstream.health.is_on_trial(),
             };
-            let score = weighed.score();
+            let score = inputs.score();
             if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, upstream.state.key));
             }
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use firweir_policy::retry::Budget;
-use firweir_policy::route::SUBSET;
+use firweir_policy::route::SUBSET_SIZE;
 use firweir_policy::route::splitmix64;
 use firweir_policy::route::subset;
 use firweir_policy::share::HeldPart;
@@ -135,7 +135,7 @@
     let mut used = vec![0_u32; upstreams.len()];
     for rank in 0..420 {
         let chosen = subset(&upstreams, rank, 420);
-        assert_eq!(chosen.len(), SUBSET);
+        assert_eq!(chosen.len(), SUBSET_SIZE);
         for state in chosen {
             used[state.key.0 as usize] += 1;
         }
