--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -128,7 +128,7 @@
         let usable = if self.state.leaving {
             0
         } else {
-            self.health.slots(now, self.state.limit)
+            self.health.usable_slots(now, self.state.limit)
         };
         if use_all_slots {
             return usable;
@@ -157,7 +157,7 @@
             slowness: self.health.slowness(),
             local_zone: self.state.local_zone,
             first_on_ring: false,
-            probe_first: self.health.is_on_trial(),
+            probe_first: self.health.is_probed_first(),
         };
         inputs.score()
     }
@@ -282,7 +282,7 @@
         let speeds = self
             .upstreams
             .iter()
-            .filter_map(|upstream| upstream.health.compared());
+            .filter_map(|upstream| upstream.health.comparable_us_per_token());
         let mut speeds: Vec<f64> = speeds.collect();
         speeds.sort_unstable_by(f64::total_cmp);
         let median = speeds.get(speeds.len() / 2).copied();
@@ -314,9 +314,9 @@
             .map(|state| {
                 let index = known.binary_search_by_key(&state.key, |upstream| upstream.state.key);
                 let fresh = || {
-                    let steady = Upstream::new(*state, Health::steady());
+                    let warm = Upstream::new(*state, Health::warm());
                     let new = Upstream::new(*state, Health::new(now));
-                    if is_first { steady } else { new }
+                    if is_first { warm } else { new }
                 };
                 index.map_or_else(
                     |_| fresh(),
@@ -374,7 +374,7 @@
                 self.window += 1;
             }
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
-            upstream.health.ended(
+            upstream.health.record_end(
                 now,
                 finish.ending,
                 ended.cost_tokens,
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -67,14 +67,14 @@
     /// The last ejection was for slowness, not for failures.
     was_slow: bool,
     /// Elapsed over expected time of running work, relative to peers; at least 1.
-    overdue: f64,
+    overdue_ratio: f64,
     slowness: f64,
 }
 
 impl Health {
     /// An upstream without slow start: it was there when this entry started.
     #[must_use]
-    pub const fn steady() -> Self {
+    pub const fn warm() -> Self {
         Self {
             state: State::Serving { since: None },
             us_per_token: 0.0,
@@ -82,7 +82,7 @@
             consecutive_failures: 0,
             ejections: 0,
             was_slow: false,
-            overdue: 1.0,
+            overdue_ratio: 1.0,
             slowness: 1.0,
         }
     }
@@ -90,13 +90,13 @@
     /// An upstream that has just appeared and gets a slow start.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
-        let mut health = Self::steady();
+        let mut health = Self::warm();
         health.state = State::Serving { since: Some(now) };
         health
     }
 
     /// Records how work ended. Without `may_eject`, failures eject no upstream.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Instant,
         ending: Ending,
@@ -133,7 +133,7 @@
         if self.state == State::Probing {
             // Discards the measurements from before the ejection.
             self.answers = 0;
-            self.overdue = 1.0;
+            self.overdue_ratio = 1.0;
             self.slowness = 1.0;
             self.state = State::Serving { since: Some(now) };
         }
@@ -144,24 +144,24 @@
 
     /// Mean time per token in microseconds; `None` with too few answers or while ejected.
     #[must_use]
-    pub fn compared(&self) -> Option<f64> {
+    pub fn comparable_us_per_token(&self) -> Option<f64> {
         let has_enough_answers = self.answers >= MIN_ANSWERS_TO_COMPARE;
         let is_serving = matches!(self.state, State::Serving { .. });
         (has_enough_answers && is_serving).then_some(self.us_per_token)
     }
 
     /// Sets elapsed over expected time of running work, relative to peers; at least 1.
-    pub const fn set_overdue(&mut self, overdue: f64) {
-        self.overdue = overdue;
+    pub const fn set_overdue_ratio(&mut self, overdue_ratio: f64) {
+        self.overdue_ratio = overdue_ratio;
     }
 
     /// Compares the upstream with the median of its peers.
     pub fn compare(&mut self, median_us_per_token: Option<f64>) {
-        let answer_slowness = match (self.compared(), median_us_per_token) {
+        let answer_slowness = match (self.comparable_us_per_token(), median_us_per_token) {
             (Some(own), Some(median)) if median > 0.0 => own / median,
             _ => 1.0,
         };
-        self.slowness = answer_slowness.max(self.overdue);
+        self.slowness = answer_slowness.max(self.overdue_ratio);
     }
 
     /// Factor by which it is slower than its peers.
@@ -172,8 +172,8 @@
 
     /// Elapsed over expected time of running work, relative to peers; at least 1.
     #[must_use]
-    pub const fn overdue(&self) -> f64 {
-        self.overdue
+    pub const fn overdue_ratio(&self) -> f64 {
+        self.overdue_ratio
     }
 
     /// Whether it is so much slower than its peers that it is to be ejected.
@@ -186,7 +186,7 @@
     /// request that fails there is retried elsewhere at once. An upstream that was slow would
     /// make its caller wait, so live calls do not probe it while its peers have room.
     #[must_use]
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_probed_first(&self) -> bool {
         self.state == State::Probing && !self.was_slow
     }
 
@@ -215,7 +215,7 @@
 
     /// Slots of `share` that may be used now. Moves on to probing, or to the end of the slow
     /// start, once it is time.
-    pub fn slots(&mut self, now: Instant, share: u32) -> u32 {
+    pub fn usable_slots(&mut self, now: Instant, share: u32) -> u32 {
         match self.state {
             State::Serving { since: None } => share,
             State::Serving { since: Some(since) } => {
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -113,7 +113,7 @@
                 let speed = known.and_then(|upstream| upstream.speed);
                 let health = known.map(|upstream| upstream.health);
                 let new_health = if is_first {
-                    Health::steady()
+                    Health::warm()
                 } else {
                     Health::new(now)
                 };
@@ -176,7 +176,7 @@
             upstream.open = if upstream.state.leaving {
                 0
             } else {
-                upstream.health.slots(now, upstream.share)
+                upstream.health.usable_slots(now, upstream.share)
             };
             self.open += upstream.open;
             self.free += upstream.free();
@@ -197,7 +197,7 @@
         let speeds = self
             .upstreams
             .iter()
-            .filter_map(|upstream| upstream.health.compared());
+            .filter_map(|upstream| upstream.health.comparable_us_per_token());
         let median_speed = median(speeds.collect());
         self.peers = Peers::of(
             now,
@@ -209,7 +209,7 @@
         let median_overdue = median(overdue.collect()).unwrap_or(1.0).max(1.0);
         for upstream in &mut self.upstreams {
             let overdue = upstream.overdue(now) / median_overdue;
-            upstream.health.set_overdue(overdue.max(1.0));
+            upstream.health.set_overdue_ratio(overdue.max(1.0));
             upstream.health.compare(median_speed);
             upstream.overdue = (0.0, 0.0);
         }
@@ -284,7 +284,7 @@
                 slowness: upstream.slowness(now, &self.peers),
                 local_zone: upstream.state.local_zone,
                 first_on_ring: first_candidate == Some(index as u32),
-                probe_first: upstream.health.is_on_trial(),
+                probe_first: upstream.health.is_probed_first(),
             };
             let score = inputs.score();
             if best.is_none_or(|(lowest, _)| score < lowest) {
@@ -358,11 +358,11 @@
             .map_or(elapsed, |speed| speed.speed().unexplained(now, elapsed));
         upstream
             .health
-            .ended(now, ending, cost_tokens, unexplained, may_eject);
+            .record_end(now, ending, cost_tokens, unexplained, may_eject);
         upstream.open = if upstream.state.leaving {
             0
         } else {
-            upstream.health.slots(now, upstream.share)
+            upstream.health.usable_slots(now, upstream.share)
         };
         self.open += upstream.open;
         self.free += upstream.free();
@@ -418,7 +418,7 @@
     /// Factor by which work that starts now is slower than at its peers.
     fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
         match &self.speed {
-            Some(speed) => speed.slowness(now, peers) * self.health.overdue(),
+            Some(speed) => speed.slowness(now, peers) * self.health.overdue_ratio(),
             None => self.health.slowness(),
         }
     }
