--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting submissions: once, and kept whole in the store before a trainer hears of it.
+//! Accepts submissions: each once, and only after all of it is in the store.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
 use crate::store::Created;
 use crate::submission::board::Board;
 use crate::submission::desk::Acceptance;
+use crate::submission::desk::AcceptanceEntry;
 use crate::submission::desk::Desk;
-use crate::submission::desk::Start;
 use crate::submission::records::Head;
 use crate::submission::records::Part;
 use crate::submission::records::Runner;
@@ -32,34 +32,34 @@
 use crate::submission::records::numbered;
 use crate::submission::runners::strip_framing;
 
-/// How long an acceptance is tried. Clients wait seconds for it, and one that is
-/// refused in time is accepted elsewhere.
-const ACCEPT_PATIENCE: Duration = Duration::from_millis(2_500);
+/// How long the writes of a submission are retried. Clients wait for seconds, and a submission
+/// that is refused in time can be accepted by another node.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time for the home of a model to accept a submission, which takes two writes of a store
-/// that may be slow. Then it is accepted elsewhere.
-const HOME_PATIENCE: Duration = Duration::from_millis(900);
+/// Time for a home node to accept a submission, which takes two writes to a store that may be
+/// slow. After that this node looks for another one.
+const HOME_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// When a trainer may submit again what could not be kept: the store's outages take
-/// seconds, and a submission that comes back after one is a second late at most.
-const SUBMIT_AGAIN: Duration = Duration::from_millis(700);
+/// When a trainer may retry a submission that was not stored: store outages last seconds, and
+/// the retry is at most a second late after one.
+const SUBMIT_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// A submission as a client posted it.
+/// A client's request that submits a step.
 #[derive(Debug)]
 pub struct Posted<'a> {
-    /// Host that the client asked.
+    /// Host that the client called.
     pub host: &'a str,
     /// Head of the request.
     pub head: &'a request::Parts,
-    /// Its body.
+    /// Body of the request.
     pub body: &'a Bytes,
     /// Account that it is for.
     pub account: Option<&'a str>,
 }
 
 impl Desk {
-    /// Accepts a submission, or has the home of its model accept it. A node that drains
-    /// begins no step that another one would have to take over in a few seconds.
+    /// Accepts a submission, or forwards it to the home node of its model. A draining node
+    /// accepts nothing, since another one would have to take it over seconds later.
     pub async fn submit(
         &self,
         posted: &Posted<'_>,
@@ -78,72 +78,72 @@
             return self.accept_here(posted, submission, draining, false).await;
         }
         if let Some(home) = &known
-            && self.pass_to_home(home, posted).await
+            && self.forward_to_home(home, posted).await
         {
             return empty(StatusCode::ACCEPTED);
         }
         let samples = submission.items.len() as u32;
-        let silent = known.map(|home| home.address);
-        let named = self.shared.finder.find(&model, silent).await;
-        let named = named.filter(|home| *home != self.shared.me);
-        if let Some(home) = &named
-            && self.pass_to_home(home, posted).await
+        let failed_home = known.map(|home| home.address);
+        let found = self.shared.finder.find(&model, failed_home).await;
+        let found = found.filter(|home| *home != self.shared.me);
+        if let Some(home) = &found
+            && self.forward_to_home(home, posted).await
         {
-            self.settle(&model, home.clone(), samples);
+            self.assign_home(&model, home.clone(), samples);
             return empty(StatusCode::ACCEPTED);
         }
-        let was_passed = silent.is_some() || named.is_some();
-        self.accept_here(posted, submission, draining, was_passed)
+        let was_forwarded = failed_home.is_some() || found.is_some();
+        self.accept_here(posted, submission, draining, was_forwarded)
             .await
     }
 
-    /// Accepts a submission as the home of its model; `was_passed` to a node that may have
-    /// accepted it and not said so.
+    /// Accepts a submission on this node, which becomes the home of its model. If it
+    /// `was_forwarded`, another node may have accepted it without an answer.
     async fn accept_here(
         &self,
         posted: &Posted<'_>,
         submission: Submission,
         draining: bool,
-        was_passed: bool,
+        was_forwarded: bool,
     ) -> Response<Body> {
-        if draining && was_passed {
+        if draining && was_forwarded {
             return refusal(Outcome::Unknown, "draining");
         }
         if draining {
-            return refusal(Outcome::NotRun(SUBMIT_AGAIN), "draining");
+            return refusal(Outcome::NotRun(SUBMIT_RETRY_AFTER), "draining");
         }
         let model = submission.model.clone();
         let samples = submission.items.len() as u32;
         let answer = self.accept(posted, submission).await;
         let is_home = self.shared.homes.of(&model).as_ref() == Some(&self.shared.me);
-        let is_on = self.shared.off.leaves(Mechanism::Homes);
-        if answer.status() == StatusCode::ACCEPTED && !is_home && is_on {
-            self.settle(&model, self.shared.me.clone(), samples);
+        let has_homes = self.shared.off.leaves(Mechanism::Homes);
+        if answer.status() == StatusCode::ACCEPTED && !is_home && has_homes {
+            self.assign_home(&model, self.shared.me.clone(), samples);
         }
         answer
     }
 
-    /// Makes a node the home of a model, beside the answer to a trainer.
-    fn settle(&self, model: &str, home: Runner, samples: u32) {
+    /// Makes a node the home of a model, in a task of its own to not delay the answer.
+    fn assign_home(&self, model: &str, home: Runner, samples: u32) {
         let (homes, model) = (self.shared.homes.clone(), model.to_owned());
         drop(tokio::spawn(async move {
             homes.settle(&model, home, samples).await;
         }));
     }
 
-    /// Whether the home of its model has accepted a submission.
-    async fn pass_to_home(&self, home: &Runner, posted: &Posted<'_>) -> bool {
+    /// Forwards a submission to the home of its model; returns whether that has accepted it.
+    async fn forward_to_home(&self, home: &Runner, posted: &Posted<'_>) -> bool {
         let mut request = Request::new(Full::new(posted.body.clone()));
         *request.method_mut() = posted.head.method.clone();
         *request.uri_mut() = posted.head.uri.clone();
         *request.headers_mut() = posted.head.headers.clone();
         strip_framing(request.headers_mut());
-        let passing = self.shared.links.call(home.address, request, HOME_PATIENCE);
+        let call = self.shared.links.call(home.address, request, HOME_TIMEOUT);
         let runners = &self.shared.runners;
         let answer = if self.shared.off.leaves(Mechanism::HomePing) {
-            runners.while_alive(home.address, passing).await
+            runners.while_alive(home.address, call).await
         } else {
-            Some(passing.await)
+            Some(call.await)
         };
         let accepted =
             matches!(&answer, Some(Ok(answer)) if answer.status() == StatusCode::ACCEPTED);
@@ -160,7 +160,7 @@
         accepted
     }
 
-    /// Accepts a submission, once.
+    /// Accepts a submission on this node unless it was accepted before, and logs a refusal.
     pub async fn accept(&self, posted: &Posted<'_>, submission: Submission) -> Response<Body> {
         let id = submission.id.clone();
         let answer = self.accept_once(posted, submission).await;
@@ -177,26 +177,25 @@
         answer
     }
 
-    /// Accepts a submission in a task of its own, which every attempt of its client waits
-    /// for.
+    /// Accepts a submission in a task of its own; all attempts of its client wait for it.
     ///
-    /// **Failure:** a client leaves while the store is silent, and with it went the task
-    /// that accepted its step: the step counted as being accepted for ever, and each later
-    /// attempt was refused. **Guard:** the acceptance goes on to its end whoever leaves.
+    /// A client may disconnect while the store does not answer. If that cancelled the
+    /// acceptance, the submission would count as being accepted for ever, and every later
+    /// attempt would be refused.
     async fn accept_once(&self, posted: &Posted<'_>, submission: Submission) -> Response<Body> {
         let id = submission.id.clone();
         if self.is_known(&id) {
             return empty(StatusCode::ACCEPTED);
         }
-        let mut outcome = match self.begin_start(&id) {
-            Start::Running(outcome) => outcome,
-            Start::New(decided, outcome) => {
-                let accepting = self.clone().accept_to_end(
+        let mut outcome = match self.begin_acceptance(&id) {
+            AcceptanceEntry::InProgress(outcome) => outcome,
+            AcceptanceEntry::New(outcome_sender, outcome) => {
+                let accepting = self.clone().store_and_start(
                     posted.host.to_owned(),
                     posted.head.uri.path().to_owned(),
                     posted.account.map(str::to_owned),
                     submission,
-                    decided,
+                    outcome_sender,
                 );
                 drop(tokio::spawn(accepting));
                 outcome
@@ -206,21 +205,23 @@
         let outcome = outcome.ok().and_then(|outcome| *outcome);
         match outcome {
             Some(Acceptance::Accepted) => empty(StatusCode::ACCEPTED),
-            Some(Acceptance::NotKept) => {
-                refusal(Outcome::NotRun(SUBMIT_AGAIN), "store-unavailable")
+            Some(Acceptance::NotStored) => {
+                refusal(Outcome::NotRun(SUBMIT_RETRY_AFTER), "store-unavailable")
             }
-            // It may yet appear in the store, and then it runs.
+            // It may still appear in the store, and then it runs.
             Some(Acceptance::Unknown) | None => refusal(Outcome::Unknown, "store-silent"),
         }
     }
 
-    async fn accept_to_end(
+    /// Stores a submission, runs it here unless another node has accepted it, and sends the
+    /// outcome to all that wait.
+    async fn store_and_start(
         self,
         host: String,
         path: String,
         account: Option<String>,
         submission: Submission,
-        decided: watch::Sender<Option<Acceptance>>,
+        outcome_sender: watch::Sender<Option<Acceptance>>,
     ) {
         let id = submission.id.clone();
         let acceptance = match self
@@ -229,11 +230,11 @@
         {
             Ok(head) => {
                 if let Some((head, sent)) = head {
-                    self.journal_accepted(&submission);
-                    self.tell_growth(&submission);
+                    self.log_accepted(&submission);
+                    self.update_home(&submission);
                     let clock = &*self.shared.clock;
                     let board = Board::new(id.clone(), head, submission.items, clock);
-                    // Its head names this node since then.
+                    // Its head names this node as the runner from this time on.
                     board.view.confirm(sent);
                     self.start(board);
                 }
@@ -246,25 +247,26 @@
                 );
                 match error {
                     StoreError::Unknown => Acceptance::Unknown,
-                    _ => Acceptance::NotKept,
+                    _ => Acceptance::NotStored,
                 }
             }
         };
-        self.end_start(&id);
-        decided.send_replace(Some(acceptance));
+        self.end_acceptance(&id);
+        outcome_sender.send_replace(Some(acceptance));
     }
 
-    /// Tells how many samples a step has, as the home of its model.
-    fn tell_growth(&self, submission: &Submission) {
+    /// Records the number of samples per step, if this node is the home of the model and the
+    /// recorded number is smaller.
+    fn update_home(&self, submission: &Submission) {
         let homes = &self.shared.homes;
         let (model, samples) = (&submission.model, submission.items.len() as u32);
         let is_home = homes.of(model).as_ref() == Some(&self.shared.me);
         if is_home && homes.has_grown(model, samples) {
-            self.settle(model, self.shared.me.clone(), samples);
+            self.assign_home(model, self.shared.me.clone(), samples);
         }
     }
 
-    fn journal_accepted(&self, submission: &Submission) {
+    fn log_accepted(&self, submission: &Submission) {
         self.shared.journal.event(
             "submission_accepted",
             &[
@@ -275,8 +277,8 @@
         );
     }
 
-    /// Writes parts, then the head; gives that, and when it was sent. `None` if another node
-    /// had accepted it.
+    /// Writes the parts, then the head; returns the head and when it was sent, or `None` if
+    /// another node had accepted the submission.
     async fn write_submission(
         &self,
         host: String,
@@ -284,7 +286,7 @@
         account: Option<String>,
         submission: &Submission,
     ) -> Result<Option<(Head, Duration)>, StoreError> {
-        let until = self.shared.clock.now() + ACCEPT_PATIENCE;
+        let until = self.shared.clock.now() + ACCEPT_TIMEOUT;
         let store = &self.shared.store;
         let parts = cut(submission.items.clone(), item_bytes);
         let count = parts.len() as u32;
@@ -292,13 +294,13 @@
             let write = store.write_id();
             let name = numbered(&submission.id, number);
             let part = Part { write, items };
-            // A part that is there was written for the same submission, whose
-            // items are the same however often it is sent.
+            // An existing part is from an earlier attempt of the same submission, whose items
+            // are the same in every attempt.
             store
                 .create(Kind::SubmissionParts, &name, &part, &part.write, until)
                 .await
                 .map_err(|error| match error {
-                    // Without a head nothing runs, whatever becomes of the part.
+                    // Without a head the submission doesn't run, even if the part was written.
                     StoreError::Unknown => StoreError::Unreachable,
                     other => other,
                 })?;
--- a/crates/node/src/submission/board.rs
+++ b/crates/node/src/submission/board.rs
@@ -1,11 +1,9 @@
-//! One submission that this node runs: which items have ended, and the log that
-//! makes their results last.
+//! A submission that this node runs: the state of its items and its durable result log.
 //!
-//! The log is a chain of chunks in the platform's store, each created once, its
-//! number one above the last. Two nodes that both believe that they run a submission
-//! meet at the same number, and only one of them creates it; the other takes over what
-//! it finds there. So no item is listed twice and no position ever changes, with no
-//! lease and no clock.
+//! The log is a sequence of consecutively numbered chunks in the platform store. Each is
+//! created once and never changed. If two nodes both believe that they run a submission,
+//! only one of them creates the next chunk; the other reads that chunk and appends after
+//! it. So no item is listed twice and no position changes, without a lease or a clock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -47,38 +45,38 @@
 use crate::submission::texts::SavedText;
 use crate::submission::texts::put_together;
 
-/// How long one write is tried before the log looks anew at who runs it.
-const WRITE_PATIENCE: Duration = Duration::from_secs(4);
+/// How long a write is retried before the writer checks again whether this node still runs
+/// the submission.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause after a write that the store refused: its outages take seconds, and each
-/// call costs, refused ones too.
-const WRITE_PAUSE: Duration = Duration::from_millis(400);
+/// Delay after a failed write. Store outages last seconds, and refused calls are charged too.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Most bytes of texts in one page of results. A trainer reads an open step twice a second
-/// and needs all that is there.
+/// Size limit of a page of results. A trainer polls an open step twice a second and needs
+/// everything that is listed.
 const PAGE_LIMIT_BYTES: usize = 900_000;
 
-/// The same for a submission that has ended. It is read from its start, by many at once,
-/// and each page passes from its runner to the node that was asked, over links that they
-/// share: with large pages all run out of time, ask again, and none gets a page any more.
+/// Size limit of a page of an ended submission. Many clients read it from the start at once,
+/// and each page travels from the runner to the queried node over shared links: with larger
+/// pages all of these reads time out and are retried, and none succeeds.
 const ENDED_PAGE_LIMIT_BYTES: usize = 250_000;
 
-/// Where an item stands.
+/// State of an item's result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum ItemStatus {
     /// It has no result yet.
     Open,
-    /// It has a result that is being written.
+    /// Its result is not in the log yet.
     Pending,
-    /// Its result is listed.
+    /// Its result is in the log.
     Listed,
 }
 
 #[derive(Debug)]
 struct State {
-    standings: Vec<Standing>,
-    /// Sorted by id: places in the trainer's order.
-    places: Vec<(String, usize)>,
+    statuses: Vec<ItemStatus>,
+    /// Item ids with their indexes in the trainer's order, sorted by id.
+    index_by_id: Vec<(String, usize)>,
     listed: Vec<ItemResult>,
     pending: Vec<ItemResult>,
     pending_since: Option<Instant>,
@@ -86,36 +84,36 @@
     ended: bool,
 }
 
-/// One submission that this node runs.
+/// A submission that this node runs.
 #[derive(Debug)]
 pub struct Board {
     /// Its id.
     pub id: String,
-    /// Its head as it was when this node began to run it.
+    /// Its head when this node began to run it.
     pub head: Head,
     /// Its items, in the trainer's order.
     pub items: Vec<Arc<Item>>,
-    /// Another process may have run it before.
+    /// Whether another process may have run it before.
     had_another_runner: AtomicBool,
     /// When this process began to run it.
     started: Instant,
-    /// When it was accepted, as far as this process knows: before `started`, where that
-    /// was at another node, by the times of day of both.
+    /// Estimated time of acceptance. If another node accepted it, this is before `started`,
+    /// by the wall clocks of both nodes.
     accepted: Instant,
     state: Mutex<State>,
     /// Texts of items that an earlier runner saved, sorted by item.
     saved: Mutex<Vec<(String, Progress)>>,
     saved_records: AtomicUsize,
-    /// How old the view of its head is.
+    /// When the head was last read, for the start of samples.
     pub view: HeadView,
-    listed: Notify,
-    pending: Notify,
-    /// Another node runs it.
-    given_up: AtomicBool,
+    results_listed: Notify,
+    results_pending: Notify,
+    /// Whether another node runs it now.
+    released: AtomicBool,
 }
 
 impl Board {
-    /// A submission of which nothing is listed yet.
+    /// Creates a submission without results.
     #[must_use]
     pub fn new(id: String, head: Head, items: Vec<Item>, clock: &dyn Clock) -> Arc<Self> {
         let started = clock.now();
@@ -123,15 +121,15 @@
             .since_epoch()
             .saturating_sub(Duration::from_millis(head.accepted_ms));
         let accepted = started.checked_sub(accepted_ago).unwrap_or(started);
-        let mut places: Vec<(String, usize)> = items
+        let mut index_by_id: Vec<(String, usize)> = items
             .iter()
             .enumerate()
-            .map(|(place, item)| (item.id.clone(), place))
+            .map(|(index, item)| (item.id.clone(), index))
             .collect();
-        places.sort();
+        index_by_id.sort();
         let state = State {
-            standings: vec![Standing::Open; items.len()],
-            places,
+            statuses: vec![ItemStatus::Open; items.len()],
+            index_by_id,
             listed: Vec::new(),
             pending: Vec::new(),
             pending_since: None,
@@ -149,9 +147,9 @@
             saved: Mutex::default(),
             saved_records: AtomicUsize::new(0),
             view: HeadView::default(),
-            listed: Notify::new(),
-            pending: Notify::new(),
-            given_up: AtomicBool::new(false),
+            results_listed: Notify::new(),
+            results_pending: Notify::new(),
+            released: AtomicBool::new(false),
         })
     }
 
@@ -159,7 +157,7 @@
     ///
     /// # Errors
     ///
-    /// The store did not answer, or lacks a part.
+    /// The store did not answer, or a part is missing or malformed.
     pub async fn load(
         store: &Store,
         id: &str,
@@ -181,7 +179,7 @@
         board.catch_up(store).await?;
         if board.is_running() {
             let records: Vec<UnfinishedTexts> =
-                read_numbered(store, Kind::UnfinishedTexts, id, 0).await?;
+                read_records(store, Kind::UnfinishedTexts, id, 0).await?;
             board.note_saved_records(records.len());
             let pieces = records.into_iter().flat_map(|record| record.pieces);
             *board.lock_saved() = put_together(pieces.collect());
@@ -189,21 +187,21 @@
         Ok(board)
     }
 
-    /// Takes in the chunks that the store has beyond those known here.
+    /// Reads the chunks that other runners have added to the log.
     ///
     /// # Errors
     ///
     /// The store did not answer.
     pub async fn catch_up(&self, store: &Store) -> Result<(), StoreError> {
         let known = self.lock().chunks;
-        let chunks: Vec<Chunk> = read_numbered(store, Kind::ResultChunks, &self.id, known).await?;
-        for (place, chunk) in chunks.into_iter().enumerate() {
-            self.append(known + place, chunk.results);
+        let chunks: Vec<Chunk> = read_records(store, Kind::ResultChunks, &self.id, known).await?;
+        for (offset, chunk) in chunks.into_iter().enumerate() {
+            self.append(known + offset, chunk.results);
         }
         Ok(())
     }
 
-    /// Another process may have run it before, and may list results for a while yet.
+    /// Whether another process may have run it before, and may still list results.
     #[must_use]
     pub fn had_another_runner(&self) -> bool {
         self.had_another_runner.load(Ordering::Relaxed)
@@ -211,22 +209,22 @@
 
     /// When this process began to run it.
     ///
-    /// What may not happen too soon counts from here: giving items up, removing results.
-    /// The time of its acceptance is known by two times of day, which jump by seconds;
-    /// an item that was given up early is one that its trainer was still owed.
+    /// Expiry of items and removal of results count from here, as neither may happen early.
+    /// The time of acceptance depends on the wall clocks of two nodes, which jump by seconds;
+    /// an item that expired early would be missing for its trainer.
     #[must_use]
     pub const fn started(&self) -> Instant {
         self.started
     }
 
-    /// When its items may be given up.
+    /// When its unfinished items expire.
     #[must_use]
     pub fn expires(&self, route: &Route) -> Instant {
         self.started + Duration::from_millis(route.queue_ttl_ms)
     }
 
-    /// When all its results are due, as far as this process knows: what hangs on it is
-    /// only which work goes first. Its acceptance where its route is not known.
+    /// When all its results are due, or its time of acceptance if its route is not known. An
+    /// estimate: it affects only the order of work.
     #[must_use]
     pub fn due(&self, config: &Config) -> Instant {
         let route = config.route(&self.head.host, &self.head.path);
@@ -234,15 +232,15 @@
         self.accepted + Duration::from_millis(due_ms)
     }
 
-    /// The text of an item that an earlier runner saved.
+    /// Returns the text of an item that an earlier runner saved.
     #[must_use]
     pub fn saved_text(&self, item: &str) -> Option<Progress> {
         let saved = self.lock_saved();
-        let at = saved.binary_search_by(|(held, _)| held.as_str().cmp(item));
-        at.ok().map(|at| saved[at].1.clone())
+        let found = saved.binary_search_by(|(id, _)| id.as_str().cmp(item));
+        found.ok().map(|index| saved[index].1.clone())
     }
 
-    /// What is saved of each item, sorted by item.
+    /// Returns how much of each item's text is saved, sorted by item.
     #[must_use]
     pub fn saved_texts(&self) -> Vec<SavedText> {
         let saved = self.lock_saved();
@@ -254,13 +252,13 @@
         texts.collect()
     }
 
-    /// Records of unfinished texts that are in the store.
+    /// Number of records of unfinished texts in the store.
     #[must_use]
     pub fn saved_records(&self) -> usize {
         self.saved_records.load(Ordering::Relaxed)
     }
 
-    /// Notes how many such records there are.
+    /// Sets the number of records of unfinished texts in the store.
     pub fn note_saved_records(&self, records: usize) {
         self.saved_records.store(records, Ordering::Relaxed);
     }
@@ -269,89 +267,91 @@
         self.saved.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes how an item ended. A second result of an item is dropped.
+    /// Adds the result of an item, to be written to the log. A second result is dropped.
     pub fn note(&self, now: Instant, result: ItemResult) {
         let mut state = self.lock();
-        let Some(place) = state.place(&result.item) else {
+        let Some(index) = state.index_of(&result.item) else {
             return;
         };
-        if state.standings[place] != Standing::Open {
+        if state.statuses[index] != ItemStatus::Open {
             return;
         }
-        state.standings[place] = Standing::Pending;
+        state.statuses[index] = ItemStatus::Pending;
         state.pending.push(result);
         state.pending_since.get_or_insert(now);
         drop(state);
-        self.pending.notify_one();
+        self.results_pending.notify_one();
     }
 
-    /// Whether an item still needs a draft.
+    /// Whether an item, by its index, still needs a result.
     #[must_use]
-    pub fn is_open(&self, place: usize) -> bool {
-        self.is_running() && self.lock().standings[place] == Standing::Open
+    pub fn is_open(&self, index: usize) -> bool {
+        self.is_running() && self.lock().statuses[index] == ItemStatus::Open
     }
 
-    /// This node runs it, and more of it is wanted.
+    /// Whether this node runs it and it has not ended.
     #[must_use]
     pub fn is_running(&self) -> bool {
-        !self.given_up.load(Ordering::Acquire) && !self.lock().ended
+        !self.released.load(Ordering::Acquire) && !self.lock().ended
     }
 
-    /// No more of it is wanted.
+    /// Ends it: no more results are wanted.
     pub fn end(&self) {
         self.lock().ended = true;
         self.view.wake();
-        self.pending.notify_one();
-        self.listed.notify_waiters();
+        self.results_pending.notify_one();
+        self.results_listed.notify_waiters();
     }
 
-    /// Another node runs it from now on.
+    /// Stops running it here, as another node runs it now.
     pub fn give_up(&self) {
-        self.given_up.store(true, Ordering::Release);
+        self.released.store(true, Ordering::Release);
         self.view.wake();
-        self.pending.notify_one();
-        self.listed.notify_waiters();
+        self.results_pending.notify_one();
+        self.results_listed.notify_waiters();
     }
 
-    /// Another node runs it.
+    /// Whether another node runs it now.
     #[must_use]
     pub fn is_given_up(&self) -> bool {
-        self.given_up.load(Ordering::Acquire)
+        self.released.load(Ordering::Acquire)
     }
 
-    /// Every item is listed.
+    /// Whether every item is listed.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let state = self.lock();
-        state.listed.len() == state.standings.len()
+        state.listed.len() == state.statuses.len()
     }
 
-    /// Chunks of its log that are known here.
+    /// Number of chunks of its log that this node has read or written.
     #[must_use]
     pub fn chunks(&self) -> usize {
         self.lock().chunks
     }
 
-    /// Results from a position on, at most a page; waits for a first one.
+    /// Returns a page of results from a position on. If there is none yet, waits up to `wait`
+    /// for the first one.
     pub async fn results(&self, after: usize, wait: Duration) -> Vec<ItemResult> {
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
-            let listed = self.listed.notified();
+            let listed = self.results_listed.notified();
             tokio::pin!(listed);
-            // Before the look, so that a result listed in between is not missed.
+            // Registered before the page is read, so that no notification is missed.
             listed.as_mut().enable();
             let page = self.page(after);
             if !page.is_empty() || self.is_given_up() {
                 return page;
             }
-            if tokio::time::timeout_at(until, listed).await.is_err() {
+            if tokio::time::timeout_at(deadline, listed).await.is_err() {
                 return Vec::new();
             }
         }
     }
 
-    /// As [`Board::results`] for a step that is due at this age; held for the last group that
-    /// its trainer waits for.
+    /// Like [`Board::results`], but holds a page back until the last group that the trainer
+    /// waits for is complete, within `wait` and the limits of [`Asked::hold`]. The step is due
+    /// at the age `due`.
     pub async fn results_held(
         &self,
         after: usize,
@@ -359,14 +359,14 @@
         due: Duration,
         clock: &dyn Clock,
     ) -> Vec<ItemResult> {
-        let asked = clock.now();
+        let received = clock.now();
         loop {
-            let listed = self.listed.notified();
+            let listed = self.results_listed.notified();
             tokio::pin!(listed);
-            // Before the look, so that a result listed in between is not missed.
+            // Registered before the page is read, so that no notification is missed.
             listed.as_mut().enable();
             let now = clock.now();
-            let waited = now.duration_since(asked);
+            let waited = now.duration_since(received);
             let page = self.page(after);
             let is_over = self.is_given_up() || waited >= wait;
             let hold = if page.is_empty() {
@@ -377,7 +377,7 @@
             if is_over || hold.is_zero() {
                 return page;
             }
-            // Late or not, the loop looks again.
+            // The page is read again after a timeout, too.
             drop(tokio::time::timeout(hold, listed).await);
         }
     }
@@ -390,7 +390,7 @@
         let asked = Asked {
             waited,
             may_wait,
-            whole_groups: state.listed_groups(&self.items),
+            whole_groups: state.listed_group_count(&self.items),
             target_groups: self.head.target_groups as usize,
             age,
             due,
@@ -398,15 +398,15 @@
         asked.hold()
     }
 
-    /// An item that has no result yet.
+    /// Returns an item by its id.
     #[must_use]
     pub fn unlisted(&self, item: &str) -> Option<Arc<Item>> {
-        let place = self.lock().place(item)?;
-        Some(Arc::clone(&self.items[place]))
+        let index = self.lock().index_of(item)?;
+        Some(Arc::clone(&self.items[index]))
     }
 
-    /// Writes results for as long as this node runs the submission, which is due at this
-    /// age; each as it comes unless they are `paced`.
+    /// Writes results to the log for as long as this node runs the submission, which is due at
+    /// the age `due`. Unless `paced`, each result is written at once instead of in batches.
     pub async fn keep_log(
         self: Arc<Self>,
         store: Store,
@@ -416,7 +416,7 @@
         paced: bool,
     ) {
         loop {
-            self.gather(&*clock, due, paced).await;
+            self.wait_for_batch(&*clock, due, paced).await;
             if self.is_given_up() {
                 return;
             }
@@ -431,8 +431,8 @@
         }
     }
 
-    /// Waits until there are results to write.
-    async fn gather(&self, clock: &dyn Clock, due: Duration, paced: bool) {
+    /// Waits until pending results are to be written, or the submission ends here.
+    async fn wait_for_batch(&self, clock: &dyn Clock, due: Duration, paced: bool) {
         loop {
             let write_at = {
                 let state = self.lock();
@@ -441,7 +441,8 @@
                 }
                 let oldest = state.pending_since.unwrap_or_else(|| clock.now());
                 let age = oldest.saturating_duration_since(self.accepted);
-                let unwritten = state.unwritten(&self.items, self.head.target_groups, age, due);
+                let unwritten =
+                    state.unwritten_results(&self.items, self.head.target_groups, age, due);
                 let wait = if paced {
                     unwritten.wait()
                 } else {
@@ -450,20 +451,20 @@
                 state.pending_since.map(|since| since + wait)
             };
             match write_at {
-                None => self.pending.notified().await,
-                Some(at) if at <= clock.now() || self.is_all_done() => return,
+                None => self.results_pending.notified().await,
+                Some(at) if at <= clock.now() || self.has_all_results() => return,
                 Some(at) => {
                     let at = tokio::time::Instant::from_std(at);
-                    drop(tokio::time::timeout_at(at, self.pending.notified()).await);
+                    drop(tokio::time::timeout_at(at, self.results_pending.notified()).await);
                 }
             }
         }
     }
 
-    /// Nothing is to come that a result could wait for.
-    fn is_all_done(&self) -> bool {
+    /// Whether every item has a result, so that no further ones can join a batch.
+    fn has_all_results(&self) -> bool {
         let state = self.lock();
-        !state.standings.contains(&Standing::Open)
+        !state.statuses.contains(&ItemStatus::Open)
     }
 
     async fn write(
@@ -481,7 +482,7 @@
         let name = numbered(&self.id, number);
         let started = clock.now();
         while !self.is_given_up() {
-            let until = clock.now() + WRITE_PATIENCE;
+            let until = clock.now() + WRITE_TIMEOUT;
             let kind = Kind::ResultChunks;
             match store.create(kind, &name, &chunk, &chunk.write, until).await {
                 Ok(Created::Now) => {
@@ -503,7 +504,7 @@
                         "results_met",
                         &[("submission", &self.id), ("chunk", &number)],
                     );
-                    self.put_back(started, chunk.results);
+                    self.requeue(started, chunk.results);
                     if let Err(error) = self.catch_up(store).await {
                         journal.event(
                             "results_unread",
@@ -521,13 +522,13 @@
                             ("cause", &error),
                         ],
                     );
-                    tokio::time::sleep(WRITE_PAUSE).await;
+                    tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Lists the results of one chunk.
+    /// Lists the results of a chunk, unless that is known already.
     fn append(&self, number: usize, results: Vec<ItemResult>) {
         let mut state = self.lock();
         if state.chunks != number {
@@ -535,27 +536,27 @@
         }
         state.chunks += 1;
         for result in results {
-            let Some(place) = state.place(&result.item) else {
+            let Some(index) = state.index_of(&result.item) else {
                 continue;
             };
-            state.standings[place] = Standing::Listed;
-            state.pending.retain(|held| held.item != result.item);
+            state.statuses[index] = ItemStatus::Listed;
+            state.pending.retain(|other| other.item != result.item);
             state.listed.push(result);
         }
         drop(state);
-        self.listed.notify_waiters();
+        self.results_listed.notify_waiters();
     }
 
-    /// Gives back results whose chunk another node had made, but for those that are listed.
+    /// Makes results pending again after another node created their chunk, except those that
+    /// are listed.
     ///
-    /// **Failure:** while they were on their way to the store, a question had the other
-    /// node's chunk taken in. Given back after that, they were written once more: an item
-    /// stood at two positions.
-    fn put_back(&self, now: Instant, mut results: Vec<ItemResult>) {
+    /// A concurrent [`Board::catch_up`] may have read the other node's chunk during the write.
+    /// Without the filter its items would be written again and be at two positions of the log.
+    fn requeue(&self, now: Instant, mut results: Vec<ItemResult>) {
         let mut state = self.lock();
         results.retain(|result| {
-            let place = state.place(&result.item);
-            place.is_some_and(|place| state.standings[place] != Standing::Listed)
+            let index = state.index_of(&result.item);
+            index.is_some_and(|index| state.statuses[index] != ItemStatus::Listed)
         });
         if results.is_empty() {
             return;
@@ -589,76 +590,78 @@
 }
 
 impl State {
-    fn place(&self, item: &str) -> Option<usize> {
+    fn index_of(&self, item: &str) -> Option<usize> {
         let at = self
-            .places
+            .index_by_id
             .binary_search_by(|(id, _)| id.as_str().cmp(item));
-        at.ok().map(|at| self.places[at].1)
+        at.ok().map(|at| self.index_by_id[at].1)
     }
 
-    /// What decides when the pending results are written.
-    fn unwritten(
+    /// Describes the pending results, to decide when they are written.
+    fn unwritten_results(
         &self,
         items: &[Arc<Item>],
         target_groups: u32,
         age: Duration,
         due: Duration,
     ) -> Unwritten {
-        let groups = self.by_group(items);
+        let groups = self.statuses_by_group(items);
         let groups = groups.chunk_by(|a, b| a.0 == b.0);
-        let has = |group: &[(&str, Standing)], wanted| group.iter().any(|held| held.1 == wanted);
-        let whole: Vec<_> = groups.filter(|group| !has(group, Standing::Open)).collect();
+        let has = |group: &[(&str, ItemStatus)], wanted| group.iter().any(|item| item.1 == wanted);
+        let complete: Vec<_> = groups
+            .filter(|group| !has(group, ItemStatus::Open))
+            .collect();
         Unwritten {
-            completes_group: whole.iter().any(|group| has(group, Standing::Pending)),
-            whole_groups: whole.len(),
+            completes_group: complete.iter().any(|group| has(group, ItemStatus::Pending)),
+            whole_groups: complete.len(),
             target_groups: target_groups as usize,
             age,
             due,
         }
     }
 
-    /// Where each item stands, those of one group beside each other.
-    fn by_group<'a>(&self, items: &'a [Arc<Item>]) -> Vec<(&'a str, Standing)> {
-        let standings = items.iter().zip(&self.standings);
-        let mut groups: Vec<(&str, Standing)> = standings
-            .map(|(item, standing)| (item.group.as_str(), *standing))
+    /// Returns the group and status of each item, sorted by group.
+    fn statuses_by_group<'a>(&self, items: &'a [Arc<Item>]) -> Vec<(&'a str, ItemStatus)> {
+        let statuses = items.iter().zip(&self.statuses);
+        let mut groups: Vec<(&str, ItemStatus)> = statuses
+            .map(|(item, status)| (item.group.as_str(), *status))
             .collect();
         groups.sort_unstable_by_key(|(group, _)| *group);
         groups
     }
 
-    /// Groups of which every item is listed.
-    fn listed_groups(&self, items: &[Arc<Item>]) -> usize {
-        let groups = self.by_group(items);
+    /// Counts the groups of which every item is listed.
+    fn listed_group_count(&self, items: &[Arc<Item>]) -> usize {
+        let groups = self.statuses_by_group(items);
         let groups = groups.chunk_by(|a, b| a.0 == b.0);
-        let is_listed = |group: &&[(&str, Standing)]| {
-            let mut standings = group.iter().map(|(_, standing)| *standing);
-            standings.all(|standing| standing == Standing::Listed)
+        let is_listed = |group: &&[(&str, ItemStatus)]| {
+            let mut statuses = group.iter().map(|(_, status)| *status);
+            statuses.all(|status| status == ItemStatus::Listed)
         };
         groups.filter(is_listed).count()
     }
 
-    /// The pending results that fit one chunk.
+    /// Takes the oldest pending results, as many as fit one chunk.
     fn take_batch(&mut self) -> Vec<ItemResult> {
         let mut batches = cut(std::mem::take(&mut self.pending), result_bytes);
         if batches.is_empty() {
             self.pending_since = None;
             return Vec::new();
         }
-        let first = batches.remove(0);
+        let batch = batches.remove(0);
         self.pending = batches.into_iter().flatten().collect();
         if self.pending.is_empty() {
             self.pending_since = None;
         }
-        first
+        batch
     }
 }
 
-/// The records of a submission from a number on, as far as they follow one another.
+/// Reads the records of a submission from a number on, up to the first gap.
 ///
-/// A record that another writer has spoilt counts as an empty one: all that read it see
-/// the same, so that positions stay, and the records behind it are not lost with it.
-async fn read_numbered<T: DeserializeOwned + Default>(
+/// A record that another writer has made unreadable counts as empty: it is so for every
+/// reader, so positions stay the same, and later records are not lost.
+async fn read_records<T: DeserializeOwned + Default>(
     store: &Store,
     kind: Kind,
     submission: &str,
@@ -667,8 +670,8 @@
     let mut records = Vec::new();
     loop {
         let number = from + records.len();
-        // Names sort by submission, then number: what follows the last known record
-        // begins with the next one, if there is one.
+        // Names sort by submission, then number: the next record, if there is one, comes
+        // first after the last known name.
         let after = number.checked_sub(1).map_or_else(
             || format!("{submission}-"),
             |last| numbered(submission, last),
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/desk.rs
@@ -1,9 +1,10 @@
-//! Who runs which submission, and what clients ask about them.
+//! Runs submissions, and answers questions about them.
 //!
-//! A model's submissions are run at its home, if that can be reached, else where they
-//! arrive ([`crate::submission::homes`]). Any other node passes questions on to
-//! the runner. A node that finds the runner gone takes the submission over by a conditional
-//! change of its head, reads its items and results from the store and goes on.
+//! The home node of a model runs its submissions. If it cannot be reached, the node that
+//! receives a submission runs it ([`crate::submission::homes`]). Other nodes forward
+//! questions to the runner. If the runner is down, the submission is taken over by a
+//! conditional change of its head; its new runner reads items and results from the store
+//! and continues.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -53,66 +54,66 @@
 use crate::submission::runners::Runners;
 use crate::submission::saver::Saver;
 
-/// When a client may ask again where it is not known who runs a submission.
-pub(in crate::submission) const ASK_AGAIN: Duration = Duration::from_millis(250);
+/// When a client may retry a question that this node could not have answered.
+pub(in crate::submission) const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// For this long after a read of its head a runner may say that nothing is listed: what
-/// another node lists meanwhile may be missing in an answer for a second.
-const CONFIRMED_FOR: Duration = Duration::from_millis(700);
+/// How long after a read of the head a runner may answer that nothing is listed. Results that
+/// another node lists may be missing in an answer for at most a second.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(700);
 
-/// Pause before the list of submissions is asked for again at a start.
-const RESUME_PAUSE: Duration = Duration::from_millis(700);
+/// Delay before a failed list of submissions is retried at startup.
+const RESUME_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Where a question comes from.
+/// Where a request comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Asker {
-    /// A client; the question may be passed on.
+    /// A client; the request may be forwarded.
     Client,
-    /// Another node, which takes this one for the runner.
+    /// Another node, which regards this one as the runner or the home.
     Peer,
 }
 
 #[derive(Debug, Default)]
 pub(in crate::submission) struct State {
     /// Sorted by id.
-    pub(in crate::submission) boards: Vec<Arc<Board>>,
+    pub(in crate::submission) submissions: Vec<Arc<Board>>,
     /// Submissions that are being accepted.
-    starting: Vec<Starting>,
-    /// Submissions whose heads were looked at for other nodes, and when.
-    pub(in crate::submission) looked: Vec<(String, Instant)>,
+    accepting: Vec<PendingAcceptance>,
+    /// Submissions whose heads were read for questions of other nodes, and when.
+    pub(in crate::submission) recent_reads: Vec<(String, Instant)>,
 }
 
 /// How the acceptance of a submission ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::submission) enum Acceptance {
-    /// It is kept, here or by another node.
+    /// It is in the store; this node or another one runs it.
     Accepted,
-    /// Nothing of it is kept, or ever will be.
-    NotKept,
-    /// It may yet be kept.
+    /// It is not in the store and will not appear there.
+    NotStored,
+    /// It may still appear in the store.
     Unknown,
 }
 
 /// A submission that is being accepted.
 #[derive(Debug)]
-struct Starting {
+struct PendingAcceptance {
     id: String,
     outcome: watch::Receiver<Option<Acceptance>>,
 }
 
-/// Whether a submission is being accepted already.
+/// Whether a submission is already being accepted.
 #[derive(Debug)]
-pub(in crate::submission) enum Start {
-    /// It is; this tells how it ends.
-    Running(watch::Receiver<Option<Acceptance>>),
-    /// It begins now, and its end has to be told.
+pub(in crate::submission) enum AcceptanceEntry {
+    /// It is; the receiver gets the outcome.
+    InProgress(watch::Receiver<Option<Acceptance>>),
+    /// It is not; the caller accepts it and sends the outcome.
     New(
         watch::Sender<Option<Acceptance>>,
         watch::Receiver<Option<Acceptance>>,
     ),
 }
 
-/// All submissions as this node knows them; cheap to clone.
+/// Accepts and runs submissions, and answers questions about them; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Desk {
     pub(in crate::submission) shared: Arc<Shared>,
@@ -136,43 +137,43 @@
     dialect: Arc<dyn Dialect>,
     drafting: Drafting,
     state: Mutex<State>,
-    /// Held while a submission is read from the store: one after the other.
+    /// Held while a submission is read from the store: they are read one at a time.
     loading: tokio::sync::Mutex<()>,
 }
 
-/// What a desk works with.
+/// Dependencies of a [`Desk`].
 #[derive(Debug)]
 pub struct DeskParts {
     /// This node.
     pub me: Runner,
-    /// The platform's store.
+    /// The platform store.
     pub store: Store,
     /// Connections to other nodes.
     pub links: Links,
-    /// Writes pages of results.
+    /// Encodes pages of results.
     pub dialect: Arc<dyn Dialect>,
-    /// Drafts items.
+    /// Generates the samples of items.
     pub drafting: Drafting,
-    /// Who runs the submissions of which model.
+    /// Home nodes of models.
     pub homes: Homes,
-    /// Finds homes.
+    /// Finds home nodes.
     pub finder: Finder,
-    /// Whether the store turns this node away.
+    /// Whether the store refuses this node's calls.
     pub outage: Outage,
-    /// Settings, with how long results stay readable.
+    /// Settings, such as how long results stay readable.
     pub settings: InForce,
     /// Mechanisms that are switched off.
     pub off: Off,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// The clock that counts suspended time.
+    /// The clock that includes suspended time.
     pub boot_clock: Arc<dyn BootClock>,
-    /// Events.
+    /// The event log.
     pub journal: Journal,
 }
 
 impl Desk {
-    /// Nothing is known yet.
+    /// Creates a manager without submissions.
     #[must_use]
     pub fn new(parts: DeskParts) -> Self {
         let heads = Heads::new(parts.me.clone(), parts.store.clone(), parts.journal.clone());
@@ -200,39 +201,39 @@
         }
     }
 
-    /// Goes on with the submissions that an earlier process of this VM ran.
+    /// Resumes the submissions that an earlier process of this VM ran.
     ///
-    /// The list may be seconds old. What it lacks is loaded by the next question of the
-    /// trainer, what it shows too much of is let go by the look at its head.
+    /// The list may be seconds old. A missing submission is loaded at the next question of its
+    /// trainer; one that another node runs by now is released after the next read of its head.
     pub async fn resume(&self) {
         let store = &self.shared.store;
         let listed = loop {
             match list(store, Kind::Submissions, Freshness::Seconds).await {
                 Ok((objects, _)) => break objects,
-                Err(_) => tokio::time::sleep(RESUME_PAUSE).await,
+                Err(_) => tokio::time::sleep(RESUME_RETRY_DELAY).await,
             }
         };
         let heads = listed
             .into_iter()
             .filter_map(|object| self.shared.heads.decode(object));
         let (ended, running): (Vec<Known>, Vec<Known>) = heads.partition(|known| known.head.ended);
-        // They are read one after the other; those that a trainer waits for go first.
+        // They are loaded one at a time; trainers still wait for those that have not ended.
         for known in running.into_iter().chain(ended) {
-            self.apply(known);
+            self.apply_head(known);
         }
     }
 
-    /// Brings this node in line with a head as the store shows it.
-    fn apply(&self, known: Known) {
+    /// Loads, stops or releases a submission as its head in the store requires.
+    fn apply_head(&self, known: Known) {
         self.shared.heads.note(known.clone());
-        let mine = known.head.runner == self.shared.me;
+        let is_runner = known.head.runner == self.shared.me;
         match self.board(&known.id) {
-            Some(board) if !mine => self.let_go(&board),
+            Some(board) if !is_runner => self.release(&board),
             Some(board) if known.head.ended => self.stop(&board),
-            None if mine && !self.is_starting(&known.id) => {
+            None if is_runner && !self.is_being_accepted(&known.id) => {
                 let desk = self.clone();
                 drop(tokio::spawn(async move {
-                    // Logged there; the next question reads it again.
+                    // `load` logs a failure; the next question retries it.
                     drop(desk.load(&known.id, known.head).await);
                 }));
             }
@@ -240,25 +241,25 @@
         }
     }
 
-    /// Looks at the head of a submission for as long as this node runs it: another
-    /// node that did not reach this one may have taken it over, or ended it.
+    /// Reads the head of a submission periodically for as long as this node runs it: another
+    /// node that could not reach this one may have taken it over, or ended it.
     async fn watch_head(self, board: Arc<Board>) {
         while board.is_running() && !board.is_complete() {
             let limits = self.shared.settings.now().head_limits();
-            let look_wanted = board.view.look_wanted();
-            // In time or sooner, the head is looked at.
-            drop(tokio::time::timeout(limits.look_every, look_wanted).await);
-            // Without the store no one else can take it over either.
-            drop(self.confirm(&board).await);
+            let read_requested = board.view.look_wanted();
+            // The head is read after the interval, or earlier on request.
+            drop(tokio::time::timeout(limits.look_every, read_requested).await);
+            // While the store is unavailable no other node can take over either.
+            drop(self.confirm_runner(&board).await);
         }
     }
 
-    /// Looks whether this node still runs a submission; lets it go if not.
+    /// Reads the head to check whether this node still runs a submission; releases it if not.
     ///
     /// # Errors
     ///
     /// The store did not answer.
-    async fn confirm(&self, board: &Board) -> Result<bool, StoreError> {
+    async fn confirm_runner(&self, board: &Board) -> Result<bool, StoreError> {
         let sent = self.shared.boot_clock.since_boot();
         let newest = self.shared.heads.reread(&board.id).await;
         if newest.is_err() {
@@ -267,53 +268,53 @@
         let Some(known) = newest? else {
             return Ok(false);
         };
-        let mine = known.head.runner == self.shared.me;
-        if mine && !known.head.ended {
+        let is_runner = known.head.runner == self.shared.me;
+        if is_runner && !known.head.ended {
             board.view.confirm(sent);
         }
-        self.apply(known);
-        Ok(mine)
+        self.apply_head(known);
+        Ok(is_runner)
     }
 
-    /// Answers that nothing is listed from a position on, if that is certain.
+    /// Answers that nothing is listed from a position on, after making sure of it.
     ///
-    /// A runner that was silent for a while may have lost its submission to another node, which
-    /// lists more, and would show less than a trainer has read. So it says that there is
-    /// nothing only if a read of the head, sent less than [`CONFIRMED_FOR`] ago, showed it
-    /// as the runner. What is listed never changes, so other pages need no such read.
-    async fn nothing_listed(&self, board: &Board, after: usize) -> Response<Body> {
+    /// A runner that was paused may have been replaced by another node, which has listed more;
+    /// its own answer would then show less than the trainer has already read. So it gives an
+    /// empty page only if a read of the head, sent less than [`CONFIRMATION_TTL`] ago, showed
+    /// it as the runner. Listed results never change, so other pages need no such read.
+    async fn answer_empty_page(&self, board: &Board, after: usize) -> Response<Body> {
         let now = self.shared.boot_clock.since_boot();
         let confirmed = board.view.confirmed();
-        let fresh = confirmed.is_some_and(|sent| now.saturating_sub(sent) < CONFIRMED_FOR);
-        let certain = fresh || after >= board.items.len();
-        let mine = if certain {
+        let is_fresh = confirmed.is_some_and(|sent| now.saturating_sub(sent) < CONFIRMATION_TTL);
+        let is_certain = is_fresh || after >= board.items.len();
+        let is_runner = if is_certain {
             Ok(true)
         } else {
             self.confirm_log(board).await
         };
-        match mine {
+        match is_runner {
             Ok(true) => {
                 let results = board.results(after, Duration::ZERO).await;
                 self.result_page(board, after, &results)
             }
             Ok(false) => empty(StatusCode::CONFLICT),
-            Err(_) => refusal(Outcome::NotRun(ASK_AGAIN), "not-confirmed"),
+            Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "not-confirmed"),
         }
     }
 
-    /// As [`Desk::confirm`], and takes in what an earlier runner has listed.
+    /// Like [`Desk::confirm_runner`], and reads what an earlier runner has listed since.
     ///
-    /// **Failure:** a runner that was frozen goes on until it looks at the head again, and
-    /// lists a last few results after another node has read the log. Once the submission has
-    /// ended nothing is written there any more that would meet them: that node shows less
-    /// than the trainer has read, for good. **Guard:** a node that has not accepted the
-    /// submission itself looks for them before it says that there is nothing.
+    /// A runner that was paused continues until its next read of the head, and may list
+    /// results after another node has read the log. Once the submission has ended, that node
+    /// writes no chunk that would collide with them, so it would show less than the trainer
+    /// has read for good. Hence a node that did not accept the submission itself reads the log
+    /// again before it gives an empty page.
     async fn confirm_log(&self, board: &Board) -> Result<bool, StoreError> {
-        let mine = self.confirm(board).await?;
-        if mine && board.had_another_runner() {
+        let is_runner = self.confirm_runner(board).await?;
+        if is_runner && board.had_another_runner() {
             board.catch_up(&self.shared.store).await?;
         }
-        Ok(mine)
+        Ok(is_runner)
     }
 
     fn result_page(&self, board: &Board, after: usize, results: &[ItemResult]) -> Response<Body> {
@@ -325,7 +326,7 @@
         with_json(StatusCode::OK, self.shared.dialect.result_page(&page))
     }
 
-    /// Answers a question about a submission, on behalf of an account.
+    /// Answers a question about a submission on behalf of an account, and logs a refusal.
     pub async fn ask(
         &self,
         asker: Asker,
@@ -334,7 +335,7 @@
         head: &request::Parts,
     ) -> Response<Body> {
         let (id, question) = (call.submission.as_str(), &call.question);
-        let answer = self.answer_or_pass_on(asker, account, call, head).await;
+        let answer = self.answer_or_forward(asker, account, call, head).await;
         if !answer.status().is_success() {
             self.shared.journal.event(
                 "question_refused",
@@ -362,7 +363,7 @@
                     return empty(StatusCode::CONFLICT);
                 }
                 if results.is_empty() {
-                    return self.nothing_listed(board, *after).await;
+                    return self.answer_empty_page(board, *after).await;
                 }
                 self.result_page(board, *after, &results)
             }
@@ -386,14 +387,14 @@
         board.results_held(after, wait, due, clock).await
     }
 
-    /// Ends a submission: here at once, and in the store before it is confirmed.
+    /// Ends a submission: here at once, and in the store before the answer.
     async fn end(&self, board: &Arc<Board>) -> Response<Body> {
         self.stop(board);
         self.end_in_store(&board.id).await
     }
 
-    /// The submission as this node runs it; read from the store if need be.
-    pub(in crate::submission) async fn own(
+    /// Returns a submission that this node runs, loaded from the store if necessary.
+    pub(in crate::submission) async fn get_or_load(
         &self,
         id: &str,
         head: Head,
@@ -405,12 +406,12 @@
     }
 
     async fn load(&self, id: &str, head: Head) -> Result<Arc<Board>, StoreError> {
-        let _one = self.shared.loading.lock().await;
+        let _guard = self.shared.loading.lock().await;
         if let Some(board) = self.board(id) {
             return Ok(board);
         }
         let started = self.shared.clock.now();
-        let loaded = self.read_step(id, head).await;
+        let loaded = self.read_submission(id, head).await;
         let took_ms = self.shared.clock.now().duration_since(started).as_millis();
         match &loaded {
             Ok(board) => {
@@ -428,19 +429,19 @@
         loaded
     }
 
-    /// Reads a step from the store, and whether it has ended meanwhile.
+    /// Reads a submission from the store, then its head once more.
     ///
-    /// **Failure:** a trainer ends its step through another node while this one reads it,
-    /// which takes a second; the head that this one began with does not say so, and engines
-    /// draft a step that nobody wants until the next look at the head. **Guard:** the head is
-    /// read again behind the rest, before any of its items starts.
-    async fn read_step(&self, id: &str, head: Head) -> Result<Arc<Board>, StoreError> {
+    /// The first read takes a second, and a trainer may end its step through another node
+    /// meanwhile. Without the second read, engines would generate samples of an ended step
+    /// until the next read of the head.
+    async fn read_submission(&self, id: &str, head: Head) -> Result<Arc<Board>, StoreError> {
         let board = Board::load(&self.shared.store, id, head, &*self.shared.clock).await?;
         if board.is_running() {
             let sent = self.shared.boot_clock.since_boot();
             match self.shared.heads.reread(id).await? {
                 Some(known) if !known.head.ended => {
-                    // Another runner's step starts nothing here; the next look lets it go.
+                    // If another node runs it, no sample starts here, and the next read of the
+                    // head releases it.
                     if known.head.runner == self.shared.me {
                         board.view.confirm(sent);
                     }
@@ -453,11 +454,13 @@
 
     pub(in crate::submission) fn start(&self, board: Arc<Board>) {
         let mut state = self.lock();
-        let found = state.boards.binary_search_by(|held| held.id.cmp(&board.id));
+        let found = state
+            .submissions
+            .binary_search_by(|other| other.id.cmp(&board.id));
         let Err(at) = found else {
             return;
         };
-        state.boards.insert(at, Arc::clone(&board));
+        state.submissions.insert(at, Arc::clone(&board));
         drop(state);
         drop(tokio::spawn(self.clone().clean_up(Arc::clone(&board))));
         if board.is_running() {
@@ -488,11 +491,11 @@
         self.shared.drafting.remove(&board.id);
     }
 
-    /// Another node runs it now.
-    fn let_go(&self, board: &Arc<Board>) {
+    /// Stops running a submission that another node runs now.
+    fn release(&self, board: &Arc<Board>) {
         board.give_up();
         self.shared.drafting.remove(&board.id);
-        self.lock().boards.retain(|held| held.id != board.id);
+        self.lock().submissions.retain(|other| other.id != board.id);
         self.shared
             .journal
             .event("submission_let_go", &[("submission", &board.id)]);
@@ -501,34 +504,34 @@
     pub(in crate::submission) fn board(&self, id: &str) -> Option<Arc<Board>> {
         let state = self.lock();
         let at = state
-            .boards
-            .binary_search_by(|held| held.id.as_str().cmp(id));
-        at.ok().map(|at| Arc::clone(&state.boards[at]))
+            .submissions
+            .binary_search_by(|other| other.id.as_str().cmp(id));
+        at.ok().map(|at| Arc::clone(&state.submissions[at]))
     }
 
     pub(in crate::submission) fn is_known(&self, id: &str) -> bool {
         self.shared.heads.has(id) || self.board(id).is_some()
     }
 
-    fn is_starting(&self, id: &str) -> bool {
-        self.lock().starting.iter().any(|held| held.id == id)
+    fn is_being_accepted(&self, id: &str) -> bool {
+        self.lock().accepting.iter().any(|other| other.id == id)
     }
 
-    pub(in crate::submission) fn begin_start(&self, id: &str) -> Start {
+    pub(in crate::submission) fn begin_acceptance(&self, id: &str) -> AcceptanceEntry {
         let mut state = self.lock();
-        if let Some(held) = state.starting.iter().find(|held| held.id == id) {
-            return Start::Running(held.outcome.clone());
+        if let Some(pending) = state.accepting.iter().find(|other| other.id == id) {
+            return AcceptanceEntry::InProgress(pending.outcome.clone());
         }
-        let (decided, outcome) = watch::channel(None);
-        state.starting.push(Starting {
+        let (outcome_sender, outcome) = watch::channel(None);
+        state.accepting.push(PendingAcceptance {
             id: id.to_owned(),
             outcome: outcome.clone(),
         });
-        Start::New(decided, outcome)
+        AcceptanceEntry::New(outcome_sender, outcome)
     }
 
-    pub(in crate::submission) fn end_start(&self, id: &str) {
-        self.lock().starting.retain(|held| held.id != id);
+    pub(in crate::submission) fn end_acceptance(&self, id: &str) {
+        self.lock().accepting.retain(|other| other.id != id);
     }
 
     pub(in crate::submission) fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/node/src/submission/elsewhere.rs
+++ b/crates/node/src/submission/elsewhere.rs
@@ -1,5 +1,5 @@
-//! Questions about submissions that other nodes run: found out who runs one, passed on,
-//! taken over from a runner that is gone.
+//! Questions about submissions that other nodes run: finds the runner, forwards the question,
+//! and has the submission taken over if its runner is down.
 
 use std::time::Duration;
 
@@ -18,20 +18,21 @@
 use crate::respond::empty;
 use crate::respond::refusal;
 use crate::respond::with_json;
-use crate::submission::desk::ASK_AGAIN;
 use crate::submission::desk::Asker;
 use crate::submission::desk::Desk;
+use crate::submission::desk::RETRY_AFTER;
 use crate::submission::heads::Known;
 
-/// A node that is wrongly taken for the runner looks at the head once in this time: a
-/// client asks twice a second, and each look costs a call.
-const LOOK_AGAIN: Duration = Duration::from_secs(1);
+/// Least time between reads of a head for questions that other nodes forwarded by mistake: a
+/// client asks twice a second, and each read is a charged call.
+const HEAD_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tries to change a head that others change too.
-const HEAD_TRIES: usize = 4;
+/// Attempts to reach a runner, or to change a head that other nodes change concurrently.
+const MAX_HEAD_ATTEMPTS: usize = 4;
 
 impl Desk {
-    pub(in crate::submission) async fn answer_or_pass_on(
+    /// Answers a question about a submission that this node runs; else forwards it to the runner.
+    pub(in crate::submission) async fn answer_or_forward(
         &self,
         asker: Asker,
         account: Option<&str>,
@@ -39,19 +40,20 @@
         head: &request::Parts,
     ) -> Response<Body> {
         let (id, question) = (call.submission.as_str(), &call.question);
-        // Its own head is looked at while it runs; a question need not wait for the store.
+        // The heads of own submissions are read periodically, so this needs no read.
         if let Some(board) = self.board(id) {
             if !board.head.is_for(account) {
                 return no_such_submission();
             }
             let answer = self.answer(&board, question).await;
-            // It was let go meanwhile: its new runner answers a client.
+            // On a conflict the submission was released; a client's question goes to its new
+            // runner.
             if asker == Asker::Peer || answer.status() != StatusCode::CONFLICT {
                 return answer;
             }
         }
-        let away = asker == Asker::Client && self.shared.outage.is_on();
-        if away
+        let in_outage = asker == Asker::Client && self.shared.outage.is_on();
+        if in_outage
             && !self.is_known(id)
             && let Some(answer) = self.ask_homes(question, head).await
         {
@@ -62,27 +64,27 @@
             Ok(None) => return no_such_submission(),
             Err(_) => {
                 let answer = match asker {
-                    Asker::Client if !away => self.ask_homes(question, head).await,
+                    Asker::Client if !in_outage => self.ask_homes(question, head).await,
                     Asker::Client | Asker::Peer => None,
                 };
-                let refused = || refusal(Outcome::NotRun(ASK_AGAIN), "store-unavailable");
+                let refused = || refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable");
                 return answer.unwrap_or_else(refused);
             }
         };
         if !known.head.is_for(account) {
             return no_such_submission();
         }
-        for _ in 0..HEAD_TRIES {
+        for _ in 0..MAX_HEAD_ATTEMPTS {
             if known.head.runner == self.shared.me {
-                return match self.own(id, known.head).await {
+                return match self.get_or_load(id, known.head).await {
                     Ok(board) => self.answer(&board, question).await,
-                    Err(_) => refusal(Outcome::NotRun(ASK_AGAIN), "store-unavailable"),
+                    Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable"),
                 };
             }
             if asker == Asker::Peer {
-                match self.reconsider(&known).await {
-                    Some(now) if now.head.runner == self.shared.me => {
-                        known = now;
+                match self.reread_for_peer(&known).await {
+                    Some(newest) if newest.head.runner == self.shared.me => {
+                        known = newest;
                         continue;
                     }
                     _ => return empty(StatusCode::CONFLICT),
@@ -90,10 +92,10 @@
             }
             let runner = known.head.runner.address;
             let runners = &self.shared.runners;
-            let passing = runners.pass_on(runner, question, head);
-            let Some(answer) = runners.while_alive(runner, passing).await else {
-                let finding = tokio::spawn(self.clone().runner_after_silence(known.clone()));
-                // Nobody has to run a submission for it to be ended.
+            let forwarding = runners.pass_on(runner, question, head);
+            let Some(answer) = runners.while_alive(runner, forwarding).await else {
+                let finding = tokio::spawn(self.clone().find_current_head(known.clone()));
+                // The end needs no runner.
                 if *question == Question::End {
                     break;
                 }
@@ -108,61 +110,61 @@
                 Ok(_) => {}
                 Err(error) => {
                     let replacing = tokio::spawn(self.clone().replace_runner(known.clone(), error));
-                    // Nobody has to run a submission for it to be ended.
+                    // The end needs no runner.
                     if *question == Question::End {
                         break;
                     }
-                    if let Ok(Some(now)) = replacing.await {
-                        known = now;
+                    if let Ok(Some(newest)) = replacing.await {
+                        known = newest;
                         continue;
                     }
                 }
             }
             match self.shared.heads.reread(id).await {
-                Ok(Some(now)) if now.head.runner != known.head.runner => known = now,
+                Ok(Some(newest)) if newest.head.runner != known.head.runner => known = newest,
                 _ => break,
             }
         }
         if asker == Asker::Client && *question == Question::End {
             return self.end_in_store(id).await;
         }
-        refusal(Outcome::NotRun(ASK_AGAIN), "runner-unreached")
+        refusal(Outcome::NotRun(RETRY_AFTER), "runner-unreached")
     }
 
-    /// The head to go by once the runner that is known has fallen silent: another node may run
-    /// the submission by now, or takes it over. The same head if the runner answers after all.
+    /// Returns the current head after the known runner did not answer. Another node may run the
+    /// submission by now, or takes it over; if the runner answers after all, the head is `known`.
     ///
-    /// Without the look each node that knows an old head, as all do after they have started
-    /// together, waits for a runner that is long replaced until its client has left.
+    /// Without the read, a node with an old head, as all nodes have after they started together,
+    /// would wait for a runner that was replaced long ago until its client disconnects.
     ///
-    /// A task of its own, as [`Desk::replace_runner`] is.
-    async fn runner_after_silence(self, known: Known) -> Known {
-        let newest = self.shared.heads.reread(&known.id).await;
-        if let Ok(Some(now)) = newest
-            && now.head.runner != known.head.runner
+    /// Runs in a task of its own, like [`Desk::replace_runner`].
+    async fn find_current_head(self, known: Known) -> Known {
+        let read = self.shared.heads.reread(&known.id).await;
+        if let Ok(Some(newest)) = read
+            && newest.head.runner != known.head.runner
         {
-            return now;
+            return newest;
         }
         let replacing = self.replace_runner(known.clone(), LinkError::Late);
         replacing.await.unwrap_or(known)
     }
 
-    /// Has a submission taken over if its runner, which did not answer, is gone; gives the head
-    /// that holds then. A seed names the successor, since this node was asked by chance.
+    /// Has a submission taken over if its runner, which did not answer, is down; returns the
+    /// resulting head. A seed node names the successor, as any node may get the question.
     ///
-    /// A task of its own: a client that waits for less than it takes to tell that a runner is
-    /// gone would end the look with its question, and its next one reaches another node,
-    /// which begins anew.
+    /// Runs in a task of its own: a client may disconnect before the runner is known to be down.
+    /// If that cancelled the check, the client's next question would reach another node, which
+    /// would start it again.
     async fn replace_runner(self, known: Known, error: LinkError) -> Option<Known> {
         let runner = known.head.runner.address;
         if !self.shared.runners.is_gone(runner, error).await {
             return None;
         }
         let finder = &self.shared.finder;
-        let named = finder.find(&known.head.model, Some(runner)).await;
-        let successor = named.unwrap_or_else(|| self.shared.me.clone());
+        let found = finder.find(&known.head.model, Some(runner)).await;
+        let successor = found.unwrap_or_else(|| self.shared.me.clone());
         match self.shared.heads.take_over(&known, successor).await {
-            Ok(now) => now,
+            Ok(newest) => newest,
             Err(error) => {
                 self.shared.journal.event(
                     "submission_not_taken_over",
@@ -173,24 +175,23 @@
         }
     }
 
-    /// The newest head of a submission that another node takes this one to run; `None` if
-    /// it was looked at a moment ago.
+    /// Reads the newest head of a submission that another node believes this one to run; `None`
+    /// if it was read less than [`HEAD_READ_INTERVAL`] ago.
     ///
-    /// **Failure:** a node that has taken a submission over starts again, and reads in a
-    /// list that is seconds old that the runner before it still runs it. That one knows
-    /// better, and the two send each question to each other: the submission cannot be read
-    /// any more. **Guard:** whoever is asked by another node looks before it sends the
-    /// question away. Nodes that ask remember who answered, so that few come to the wrong one.
-    async fn reconsider(&self, known: &Known) -> Option<Known> {
+    /// A node that took a submission over and then restarted may read in a list that is seconds
+    /// old that the previous runner still runs it. The previous runner knows the later head.
+    /// Without this read, the two would send every question to each other, and the submission
+    /// could not be read. Nodes remember the runner that answered, so such questions are rare.
+    async fn reread_for_peer(&self, known: &Known) -> Option<Known> {
         let now = self.shared.clock.now();
         {
             let mut state = self.lock();
-            let looked = &mut state.looked;
-            looked.retain(|(_, at)| now.duration_since(*at) < LOOK_AGAIN);
-            if looked.iter().any(|(id, _)| *id == known.id) {
+            let reads = &mut state.recent_reads;
+            reads.retain(|(_, at)| now.duration_since(*at) < HEAD_READ_INTERVAL);
+            if reads.iter().any(|(id, _)| *id == known.id) {
                 return None;
             }
-            looked.push((known.id.clone(), now));
+            reads.push((known.id.clone(), now));
         }
         match self.shared.heads.reread(&known.id).await {
             Ok(newest) => newest,
@@ -204,11 +205,12 @@
         }
     }
 
-    /// Asks the homes of all models, one of which most likely runs the submission.
+    /// Forwards a question to the homes of all models; one of them most likely runs the
+    /// submission.
     ///
-    /// While the store is away a node cannot read who runs a submission that it was not
-    /// asked about before, and clients' questions arrive at changing nodes. A home that does not
-    /// run it says so by a conflict or, without the store, a refusal.
+    /// During a store outage a node can't look up the runner of a submission that it has not
+    /// seen before, and a client's questions reach different nodes. A home that doesn't run the
+    /// submission answers with a conflict or, if the store doesn't answer it, as unavailable.
     async fn ask_homes(
         &self,
         question: &Question,
@@ -233,15 +235,14 @@
         None
     }
 
-    /// Ends a submission in the store, whoever runs it: its runner hears of it as it looks at
-    /// the head.
+    /// Ends a submission in the store, whichever node runs it: the runner sees the end at its
+    /// next read of the head.
     ///
-    /// **Failure:** a trainer ends its step while the runner reads it anew after a restart,
-    /// which takes a second, or is cut off. Passed on to it alone, the end was refused, the
-    /// trainer left it at that, and engines went on with a step that nobody wanted. **Guard:**
-    /// the end needs the head only, which any node can change.
+    /// Any node can change the head, so the end doesn't depend on the runner. That may be
+    /// partitioned, or loading the submission after a restart, which takes a second. A trainer
+    /// doesn't retry a refused end, and engines would go on generating samples of its step.
     pub(in crate::submission) async fn end_in_store(&self, id: &str) -> Response<Body> {
-        for _ in 0..HEAD_TRIES {
+        for _ in 0..MAX_HEAD_ATTEMPTS {
             let Ok(Some(known)) = self.shared.heads.reread(id).await else {
                 break;
             };
@@ -253,7 +254,7 @@
                     self.shared
                         .journal
                         .event("submission_ended", &[("submission", &id)]);
-                    // This node may have begun to run it meanwhile.
+                    // This node may have started to run it meanwhile.
                     if let Some(board) = self.board(id) {
                         self.stop(&board);
                     }
@@ -263,17 +264,17 @@
                 Err(_) => break,
             }
         }
-        refusal(Outcome::NotRun(ASK_AGAIN), "store-unavailable")
+        refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable")
     }
 }
 
-/// The answer for a submission that is not there, or is another account's.
+/// The answer for a submission that doesn't exist or belongs to another account.
 fn no_such_submission() -> Response<Body> {
     let outcome = Outcome::BadRequest(StatusCode::NOT_FOUND);
     refusal(outcome, "no-such-submission")
 }
 
-/// Whether a runner's answer stands; else the question goes on elsewhere.
+/// Whether a runner's answer is passed to the client; if not, the head is read again.
 fn is_final(question: &Question, status: StatusCode) -> bool {
     match question {
         Question::End => status.is_success() || status == StatusCode::NOT_FOUND,
--- a/crates/node/src/submission/finder.rs
+++ b/crates/node/src/submission/finder.rs
@@ -1,4 +1,4 @@
-//! Finds a home for a model that has none, or whose home does not answer.
+//! Finds a home node for a model that has none, or whose home does not answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,29 +23,29 @@
 use crate::submission::homes::Homes;
 use crate::submission::records::Runner;
 
-/// Time for a seed's answer, which it has in memory.
-const SEED_PATIENCE: Duration = Duration::from_millis(250);
+/// Timeout of a question to a seed node, which answers from memory.
+const SEED_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks seeds for homes, or names them where this node is a seed; cheap to clone.
+/// Asks seed nodes for homes, and offers homes itself on a seed node; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Finder {
-    /// The seeds, and whether this node is one.
+    /// The seed nodes, and whether this node is one.
     pub seeds: Seeds,
-    /// Nodes that ask this one.
+    /// On a seed node, the nodes that follow it.
     pub roster: Arc<Roster>,
     /// Homes that are known.
     pub homes: Homes,
-    /// Connections to seeds.
+    /// Connections to seed nodes.
     pub links: Links,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Events.
+    /// The event log.
     pub journal: Journal,
 }
 
 impl Finder {
-    /// A home for a model, other than `but`; `None` where nobody knows a better one than the
-    /// node that asks.
+    /// Returns the best home that a seed node offers for a model, other than `but`; `None` if
+    /// there is no offer, and the caller should be the home.
     pub async fn find(&self, model: &str, but: Option<SocketAddr>) -> Option<Runner> {
         let question = HomeQuestion {
             model: model.to_owned(),
@@ -53,17 +53,17 @@
         };
         let seeds = self.seeds.now();
         let own = seeds.is_seed.then(|| self.answer(&question)).flatten();
-        let asked = seeds
+        let requests = seeds
             .others
             .iter()
-            .map(|seed| self.offer_of(*seed, &question));
-        let offers = join_all(asked).await.into_iter().flatten().chain(own);
+            .map(|seed| self.remote_offer(*seed, &question));
+        let offers = join_all(requests).await.into_iter().flatten().chain(own);
         let best = offers.max_by(|a, b| a.worth().compare(&b.worth()));
         best.map(|offer| offer.home)
     }
 
-    /// What another seed offers, if it knows any home.
-    async fn offer_of(&self, seed: SocketAddr, question: &HomeQuestion) -> Option<HomeOffer> {
+    /// Returns the offer of another seed node; `None` if it has none or does not answer.
+    async fn remote_offer(&self, seed: SocketAddr, question: &HomeQuestion) -> Option<HomeOffer> {
         match self.ask(seed, question).await {
             Ok(offer) => offer,
             Err(error) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The home that this node names.
+    /// Returns the home that this node offers as a seed node.
     #[must_use]
     pub fn answer(&self, question: &HomeQuestion) -> Option<HomeOffer> {
         let now = self.clock.now();
@@ -103,7 +103,7 @@
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from_static(HOME_PATH);
-        let answer = self.links.call(seed, request, SEED_PATIENCE).await?;
+        let answer = self.links.call(seed, request, SEED_TIMEOUT).await?;
         serde_json::from_slice(answer.body()).map_err(|_malformed| LinkError::Broken)
     }
 }
--- a/crates/node/src/submission/head_view.rs
+++ b/crates/node/src/submission/head_view.rs
@@ -1,5 +1,5 @@
-//! How old a runner's knowledge is that it still runs a submission and that more of it is
-//! wanted. All times are on the clock that counts suspended time.
+//! When a runner last confirmed that it still runs a submission and that this has not ended.
+//! All times are of the boot clock, which includes suspended time.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,83 +10,83 @@
 
 use crate::duty::BootClock;
 
-/// A sample that may start now reaches its engine within this time: a connection may have to
-/// be opened first.
-const START_TAKES: Duration = Duration::from_millis(600);
+/// Time for a sample to reach its engine, which may take a new connection.
+const START_DELAY: Duration = Duration::from_millis(600);
 
-/// Part of the time in which an end applies after which the head is looked at again. The
-/// rest is for a slow answer.
-const LOOK_AGAIN_PART: f64 = 0.6;
+/// Interval between reads of the head, as a fraction of the time within which an end takes
+/// effect. The rest is for a slow answer.
+const READ_INTERVAL_FRACTION: f64 = 0.6;
 
-/// How old the head may be for what hangs on it.
+/// Time limits for reads of the head of a submission that this node runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeadLimits {
-    /// Time between two looks at the head.
+    /// Interval between reads of the head.
     pub look_every: Duration,
-    /// No sample starts by a look that was sent longer ago.
+    /// A sample starts only if the last read was sent at most this long ago.
     pub start_within: Duration,
 }
 
 impl HeadLimits {
-    /// The limits where no sample of an ended submission may reach an engine that long after
-    /// the end was confirmed.
+    /// Limits under which no sample of an ended submission reaches an engine later than
+    /// `end_applies` after the end was confirmed.
     #[must_use]
     pub fn new(end_applies: Duration) -> Self {
-        let look_every = end_applies.mul_f64(LOOK_AGAIN_PART);
+        let look_every = end_applies.mul_f64(READ_INTERVAL_FRACTION);
         Self {
             look_every,
-            start_within: end_applies.saturating_sub(START_TAKES).max(look_every),
+            start_within: end_applies.saturating_sub(START_DELAY).max(look_every),
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Looks {
-    /// When a read was last sent that showed this node as the runner, and no end.
+struct Reads {
+    /// When the last read was sent that showed this node as the runner, and no end.
     confirmed: Option<Duration>,
-    /// When a look was last sent in which nobody reached the store.
-    in_vain: Option<Duration>,
+    /// When the last read was sent that the store did not answer.
+    unanswered: Option<Duration>,
 }
 
-/// What one runner's looks at the head of a submission have shown.
+/// Times of a runner's reads of the head of a submission.
 #[derive(Debug, Default)]
 pub struct HeadView {
-    looks: Mutex<Looks>,
-    looked: Notify,
-    /// A sample waits for a look.
-    wanted: Notify,
+    reads: Mutex<Reads>,
+    changed: Notify,
+    /// A sample waits for a read.
+    read_wanted: Notify,
 }
 
 impl HeadView {
-    /// A read that was sent then showed this node as the runner, and no end.
+    /// Records a read, sent at this time, that showed this node as the runner, and no end.
     pub fn confirm(&self, sent: Duration) {
-        let mut looks = self.lock();
-        looks.confirmed = looks.confirmed.max(Some(sent));
-        drop(looks);
-        self.looked.notify_waiters();
+        let mut reads = self.lock();
+        reads.confirmed = reads.confirmed.max(Some(sent));
+        drop(reads);
+        self.changed.notify_waiters();
     }
 
-    /// A read that was sent then brought no answer: without the store nobody ends a
-    /// submission, and a node that alone is cut off from it must not stop all it runs.
+    /// Records a read, sent at this time, that the store did not answer. Samples may start after
+    /// it: while the store is unavailable nobody can end a submission, and a node that alone is
+    /// partitioned from the store must not stop everything that it runs.
     pub fn note_in_vain(&self, sent: Duration) {
-        let mut looks = self.lock();
-        looks.in_vain = looks.in_vain.max(Some(sent));
-        drop(looks);
-        self.looked.notify_waiters();
+        let mut reads = self.lock();
+        reads.unanswered = reads.unanswered.max(Some(sent));
+        drop(reads);
+        self.changed.notify_waiters();
     }
 
-    /// When a read was last sent that showed this node as the runner.
+    /// When the last read was sent that showed this node as the runner, and no end.
     #[must_use]
     pub fn confirmed(&self) -> Option<Duration> {
         self.lock().confirmed
     }
 
-    /// Wakes up all that wait, for another reason to go on.
+    /// Wakes all waiters, which check again whether to go on.
     pub fn wake(&self) {
-        self.looked.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Waits until a look is young enough for a sample to start, or `is_over`.
+    /// Waits until a read is recent enough for a sample to start, or `is_over`.
     pub async fn await_young(
         &self,
         clock: &dyn BootClock,
@@ -94,30 +94,30 @@
         is_over: impl Fn() -> bool,
     ) {
         loop {
-            let looked = self.looked.notified();
-            tokio::pin!(looked);
-            // Before the look, so that one in between is not missed.
-            looked.as_mut().enable();
-            if is_over() || self.is_young(clock.since_boot(), limits) {
+            let changed = self.changed.notified();
+            tokio::pin!(changed);
+            // Registered before the check, so that no notification is missed.
+            changed.as_mut().enable();
+            if is_over() || self.is_fresh(clock.since_boot(), limits) {
                 return;
             }
-            self.wanted.notify_one();
-            looked.await;
+            self.read_wanted.notify_one();
+            changed.await;
         }
     }
 
-    /// Waits until a sample waits for a look.
+    /// Waits until a sample needs a read of the head.
     pub async fn look_wanted(&self) {
-        self.wanted.notified().await;
+        self.read_wanted.notified().await;
     }
 
-    fn is_young(&self, now: Duration, limits: &HeadLimits) -> bool {
-        let looks = *self.lock();
-        let last = looks.confirmed.max(looks.in_vain);
+    fn is_fresh(&self, now: Duration, limits: &HeadLimits) -> bool {
+        let reads = *self.lock();
+        let last = reads.confirmed.max(reads.unanswered);
         last.is_some_and(|sent| now.saturating_sub(sent) <= limits.start_within)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Looks> {
-        self.looks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Reads> {
+        self.reads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/submission/heads.rs
+++ b/crates/node/src/submission/heads.rs
@@ -1,5 +1,5 @@
-//! Heads of submissions as this node knows them: who runs which, and whether it has
-//! ended. Changed in the store on the condition that they are as they were read.
+//! Cache of submission heads: which node runs a submission, and whether it has ended. Heads are
+//! changed in the store by compare-and-swap on their revision.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,51 +15,51 @@
 use crate::submission::records::Head;
 use crate::submission::records::Runner;
 
-/// The head of a submission at a revision.
+/// The head of a submission at a revision of the store.
 #[derive(Debug, Clone)]
 pub struct Known {
     /// Id of the submission.
     pub id: String,
-    /// Revision of the store at which the head was so.
+    /// Revision of the head's object.
     pub revision: u64,
     /// The head.
     pub head: Head,
 }
 
-/// Heads by submission; cheap to clone.
+/// The newest head that this node has seen of each submission; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Heads {
     me: Runner,
     store: Store,
     journal: Journal,
     /// Sorted by id.
-    held: Arc<Mutex<Vec<Known>>>,
+    newest: Arc<Mutex<Vec<Known>>>,
 }
 
 impl Heads {
-    /// None is known yet.
+    /// Creates an empty cache.
     #[must_use]
     pub fn new(me: Runner, store: Store, journal: Journal) -> Self {
         Self {
             me,
             store,
             journal,
-            held: Arc::default(),
+            newest: Arc::default(),
         }
     }
 
-    /// Whether the head of this submission was seen.
+    /// Whether the head of a submission is cached.
     #[must_use]
     pub fn has(&self, id: &str) -> bool {
         self.find(id).is_some()
     }
 
-    /// Forgets a submission that is gone from the store.
+    /// Drops the head of a submission that was removed from the store.
     pub fn forget(&self, id: &str) {
-        self.lock().retain(|held| held.id != id);
+        self.lock().retain(|other| other.id != id);
     }
 
-    /// Reads a head out of an object of the store.
+    /// Decodes a head from an object of the store; an unreadable one is logged.
     #[must_use]
     pub fn decode(&self, object: Object) -> Option<Known> {
         match serde_json::from_str::<Head>(object.value.get()) {
@@ -78,20 +78,20 @@
         }
     }
 
-    /// The head as far as it is needed to ask its runner.
+    /// Returns a head to find the runner by; it may be outdated.
     ///
     /// # Errors
     ///
-    /// It is not known here and the store did not answer.
+    /// It is not cached and the store did not answer.
     pub async fn known(&self, id: &str) -> Result<Option<Known>, StoreError> {
-        let held = self.find(id);
-        if held.is_some() {
-            return Ok(held);
+        let cached = self.find(id);
+        if cached.is_some() {
+            return Ok(cached);
         }
-        // An old head does for asking its runner, who knows better; that there is no
-        // such submission has to be the newest.
-        let old = self.store.read_stale(Kind::Submissions, id).await;
-        if let Ok(Some(object)) = old
+        // A stale head is enough to call another runner, which knows of later changes. That a
+        // submission doesn't exist, or that this node runs it, needs the newest state.
+        let stale = self.store.read_stale(Kind::Submissions, id).await;
+        if let Ok(Some(object)) = stale
             && let Some(known) = self.decode(object)
             && known.head.runner != self.me
         {
@@ -101,7 +101,7 @@
         self.reread(id).await
     }
 
-    /// The newest head.
+    /// Reads the newest head from the store.
     ///
     /// # Errors
     ///
@@ -115,7 +115,8 @@
         Ok(known)
     }
 
-    /// Makes a node the runner in place of the one that is known.
+    /// Replaces the runner of the head `known` by `successor`. Returns the resulting head, which
+    /// names another node if that came first; `None` if the store has no readable head.
     ///
     /// # Errors
     ///
@@ -125,18 +126,18 @@
         known: &Known,
         successor: Runner,
     ) -> Result<Option<Known>, StoreError> {
-        let Some(now) = self.reread(&known.id).await? else {
+        let Some(newest) = self.reread(&known.id).await? else {
             return Ok(None);
         };
-        if now.head.runner != known.head.runner {
-            return Ok(Some(now));
+        if newest.head.runner != known.head.runner {
+            return Ok(Some(newest));
         }
         let head = Head {
             write: self.store.write_id(),
             runner: successor,
-            ..now.head.clone()
+            ..newest.head.clone()
         };
-        match self.replace(&now, head).await {
+        match self.replace(&newest, head).await {
             Ok(taken) => {
                 self.journal.event(
                     "submission_taken_over",
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Marks a submission as ended.
+    /// Marks a submission as ended in the store.
     ///
     /// # Errors
     ///
@@ -167,13 +168,13 @@
         self.replace(known, head).await.map(drop)
     }
 
-    /// Keeps the newest head of each submission.
+    /// Caches a head, unless a newer one is cached.
     pub fn note(&self, known: Known) {
-        let mut held = self.lock();
-        match held.binary_search_by(|held| held.id.cmp(&known.id)) {
-            Ok(at) if held[at].revision < known.revision => held[at] = known,
+        let mut newest = self.lock();
+        match newest.binary_search_by(|other| other.id.cmp(&known.id)) {
+            Ok(at) if newest[at].revision < known.revision => newest[at] = known,
             Ok(_) => {}
-            Err(at) => held.insert(at, known),
+            Err(at) => newest.insert(at, known),
         }
     }
 
@@ -192,12 +193,12 @@
     }
 
     fn find(&self, id: &str) -> Option<Known> {
-        let held = self.lock();
-        let at = held.binary_search_by(|held| held.id.as_str().cmp(id));
-        at.ok().map(|at| held[at].clone())
+        let newest = self.lock();
+        let at = newest.binary_search_by(|other| other.id.as_str().cmp(id));
+        at.ok().map(|at| newest[at].clone())
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Known>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+        self.newest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -1,11 +1,11 @@
-//! The home of a model: the node that accepts and runs its submissions, step after step.
+//! Home nodes. The home of a model is the node that accepts and runs all its submissions.
 //!
-//! **Load:** a trainer's steps arrive at nodes by chance. **Without homes:** each step
-//! opens its own connections to all engines, no node knows which engine holds a group's
-//! prompt, and several nodes fill the same engines without knowing of each other.
+//! The load balancer sends a trainer's steps to arbitrary nodes. If each of these ran its step,
+//! it would open its own connections to all engines, no node would know which engine has the
+//! prompt of a group cached, and several nodes would fill the same engines unaware of each other.
 //!
-//! A home is an agreement of convenience: any node may run any submission, and does
-//! when the home cannot be reached. So homes may be read seconds late.
+//! A home is an optimization only: any node may run any submission, and does if the home can't
+//! be reached. So a list of homes that is seconds old is good enough.
 
 use std::sync::Arc;
 
@@ -22,17 +22,17 @@
 use crate::store::Store;
 use crate::submission::records::Runner;
 
-/// Begin of the names of homes among the duties.
+/// Prefix of the names of homes among the duties in the store.
 const PREFIX: &str = "home-";
 
-/// A home as it stands in the store.
+/// A home as stored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Record {
-    /// Names the write that made this value.
+struct HomeRecord {
+    /// Id of the write that created this value.
     write: String,
-    /// The node.
+    /// The home node.
     runner: Runner,
-    /// Samples of its steps; not known of homes that were settled by earlier releases.
+    /// Number of samples in a step of the model; missing in records of earlier releases.
     #[serde(default)]
     samples: Option<u32>,
 }
@@ -44,7 +44,7 @@
     runner: Runner,
 }
 
-/// Homes of all models; cheap to clone.
+/// Home nodes of all models; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Homes {
     store: Store,
@@ -55,7 +55,7 @@
 }
 
 impl Homes {
-    /// No home is known yet.
+    /// Creates it without known homes.
     #[must_use]
     pub fn new(store: Store, journal: Journal, demands: Arc<Demands>) -> Self {
         Self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The home of a model, if one is known.
+    /// Returns the home of a model, if one is known.
     #[must_use]
     pub fn of(&self, model: &str) -> Option<Runner> {
         let homes = self.by_model.load();
@@ -74,7 +74,7 @@
         at.ok().map(|at| homes[at].runner.clone())
     }
 
-    /// The homes of all models, each node once.
+    /// Returns all home nodes, each once.
     #[must_use]
     pub fn all(&self) -> Vec<Runner> {
         let homes = self.by_model.load();
@@ -84,18 +84,18 @@
         nodes
     }
 
-    /// The homes of all models.
+    /// Returns the address of each model's home.
     #[must_use]
     pub fn settled(&self) -> Vec<Settled> {
         let homes = self.by_model.load();
-        let settled = homes.iter().map(|home| Settled {
+        let assignments = homes.iter().map(|home| Settled {
             model: home.model.clone(),
             address: home.runner.address,
         });
-        settled.collect()
+        assignments.collect()
     }
 
-    /// Takes in duties as the store shows them.
+    /// Applies a change of the duties in the store. Homes are never removed.
     pub fn take(&self, change: Change) {
         match change {
             Change::All(objects) => objects.iter().for_each(|object| self.put(object)),
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Whether the record of a home tells of fewer samples than a step of its model has.
+    /// Whether a step with so many samples exceeds the number that is recorded for its model.
     #[must_use]
     pub fn has_grown(&self, model: &str, samples: u32) -> bool {
         self.demands.has_grown(model, samples)
     }
 
-    /// Makes `runner` the home of a model whose steps have so many samples, unless another
-    /// node came first.
+    /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
+    /// changed since it was read.
     pub async fn settle(&self, model: &str, runner: Runner, samples: u32) {
         let name = format!("{PREFIX}{model}");
-        let record = Record {
+        let record = HomeRecord {
             write: self.store.write_id(),
             runner: runner.clone(),
             samples: self.demands.of(model).max(Some(samples)),
@@ -123,7 +123,7 @@
         let known = homes.iter().find(|home| home.model == model).cloned();
         drop(homes);
         let (kind, write) = (Kind::Duties, &record.write);
-        let settled = match known {
+        let written = match known {
             Some(known) => {
                 let replacing = self
                     .store
@@ -132,12 +132,12 @@
             }
             None => self.store.create_once(kind, &name, &record).await,
         };
-        match settled {
+        match written {
             Ok(revision) => {
                 self.demands.note(model, samples);
                 self.journal
                     .event("home_settled", &[("model", &model), ("home", &runner.node)]);
-                self.note(&Home {
+                self.insert_if_newer(&Home {
                     model: model.to_owned(),
                     revision,
                     runner,
@@ -153,12 +153,12 @@
         let Some(model) = object.name.strip_prefix(PREFIX) else {
             return;
         };
-        match serde_json::from_str::<Record>(object.value.get()) {
+        match serde_json::from_str::<HomeRecord>(object.value.get()) {
             Ok(record) => {
                 if let Some(samples) = record.samples {
                     self.demands.note(model, samples);
                 }
-                self.note(&Home {
+                self.insert_if_newer(&Home {
                     model: model.to_owned(),
                     revision: object.revision,
                     runner: record.runner,
@@ -170,11 +170,11 @@
         }
     }
 
-    /// Keeps the newest home of each model.
-    fn note(&self, home: &Home) {
+    /// Stores a home, unless a newer one of its model is known.
+    fn insert_if_newer(&self, home: &Home) {
         self.by_model.rcu(|homes| {
             let mut homes = Vec::clone(homes);
-            match homes.binary_search_by(|held| held.model.cmp(&home.model)) {
+            match homes.binary_search_by(|other| other.model.cmp(&home.model)) {
                 Ok(at) if homes[at].revision < home.revision => homes[at] = home.clone(),
                 Ok(_) => {}
                 Err(at) => homes.insert(at, home.clone()),
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -1,18 +1,20 @@
-//! Submissions: accepted once, kept whole in the platform's store, every item listed
-//! once at a fixed position, readable at every node.
+//! Submissions, the steps of trainers. Each is accepted once and stored in the platform store.
+//! Its results are listed in a log, each item once at a fixed position, and any node answers
+//! reads of them.
 //!
-//! - [`records`]: what stands in the store.
-//! - [`board`]: one submission that this node runs, and its log of results.
-//! - [`homes`]: which node accepts and runs the submissions of a model.
-//! - [`finder`]: finding such a node.
-//! - [`texts`]: texts kept for the next step that asks for them.
-//! - [`saver`]: texts of unfinished samples in the store, for the next runner.
-//! - [`head_view`]: how old a runner's view of a head is.
-//! - [`heads`]: who runs what, as the store has it.
-//! - [`runners`]: other nodes that run submissions.
-//! - [`desk`]: running, reading, ending.
-//! - [`elsewhere`]: questions whose answers lie at other nodes; taking over.
-//! - [`accept`], [`removal`]: how a submission comes and goes.
+//! - [`records`]: the records in the store.
+//! - [`board`]: a submission that this node runs, and its result log.
+//! - [`homes`]: home nodes, which accept and run the submissions of a model.
+//! - [`finder`]: finds a home node.
+//! - [`texts`]: generated texts, and a cache of them for later steps.
+//! - [`saver`]: saves texts of unfinished samples for the next runner.
+//! - [`head_view`]: when a runner last confirmed that it still runs a submission.
+//! - [`heads`]: cache of submission heads, and changes of them.
+//! - [`runners`]: calls to other nodes that run submissions.
+//! - [`desk`]: runs submissions and answers questions about them.
+//! - [`elsewhere`]: forwards questions to other nodes, and takes over submissions.
+//! - [`accept`]: accepts submissions.
+//! - [`removal`]: removes ended submissions.
 
 pub mod accept;
 pub mod board;
--- a/crates/node/src/submission/records.rs
+++ b/crates/node/src/submission/records.rs
@@ -1,8 +1,8 @@
-//! What stands in the platform's store about a submission.
+//! Records of a submission in the platform store.
 //!
-//! One head says who runs it and whether it has ended; parts hold its items; chunks
-//! hold its results. Parts and chunks are created once and never changed. The head is
-//! created last: a submission without a head was never accepted.
+//! The head names the runner and tells whether the submission has ended. Parts hold the items,
+//! chunks the results; both are created once and never changed. The head is created after the
+//! parts: a submission without a head was never accepted.
 
 use std::net::SocketAddr;
 
@@ -12,48 +12,48 @@
 use crate::model::Item;
 use crate::model::ItemResult;
 
-/// The node that runs a submission.
+/// Name and address of a node, such as the runner of a submission or the home of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runner {
     /// Its name.
     pub node: String,
-    /// Where it takes other nodes.
+    /// Address at which it accepts calls of other nodes.
     pub address: SocketAddr,
 }
 
-/// The head of a submission.
+/// The head of a submission: its parameters, its runner, and whether it has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Names the write that made this value.
+    /// Id of the write that created this value.
     pub write: String,
     /// Host of its route.
     pub host: String,
-    /// Path that it was submitted at, which leads to its route.
+    /// Path that it was submitted to, which determines its route.
     pub path: String,
-    /// Model that makes the samples.
+    /// Model that generates the samples.
     pub model: String,
-    /// Oldest version of the weights that may make a token of it.
+    /// Oldest version of the weights that may generate its tokens.
     pub min_version: u64,
-    /// Groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub target_groups: u32,
-    /// Items of the submission.
+    /// Number of items.
     pub items: u32,
-    /// Objects that hold them.
+    /// Number of parts that hold the items.
     pub parts: u32,
-    /// When it was accepted, as the accepting node's time of day.
+    /// When it was accepted, in milliseconds since the Unix epoch by the accepting node's clock.
     pub accepted_ms: u64,
-    /// Who runs it.
+    /// The node that runs it.
     pub runner: Runner,
-    /// No more of it is wanted.
+    /// Whether it has ended: no more results are wanted.
     pub ended: bool,
-    /// Account that submitted it, where calls need a key.
+    /// Account that submitted it, if calls need a key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<String>,
 }
 
 impl Head {
-    /// Whether whoever asks for this account may know of the submission. One that was
-    /// submitted for none may be asked about by all.
+    /// Whether a caller of this account may access the submission. One without an account is
+    /// accessible to all.
     #[must_use]
     pub fn is_for(&self, account: Option<&str>) -> bool {
         self.account.is_none() || self.account.as_deref() == account
@@ -63,74 +63,75 @@
 /// Some items of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Names the write that made this value.
+    /// Id of the write that created this value.
     pub write: String,
     /// The items, in the trainer's order.
     pub items: Vec<Item>,
 }
 
-/// Some results of a submission, in the order in which they are listed.
+/// Some results of a submission, in the order of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Names the write that made this value.
+    /// Id of the write that created this value.
     pub write: String,
     /// The results.
     pub results: Vec<ItemResult>,
 }
 
-/// What one unfinished sample got since the last record that has some of it.
+/// The part of an unfinished sample's text that follows its previous pieces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextPiece {
     /// Id of the item.
     pub item: String,
-    /// Events of it that earlier records hold.
+    /// Number of events in earlier pieces.
     pub after: usize,
-    /// Data of the events behind those.
+    /// Data of the events that follow.
     pub events: Vec<String>,
-    /// Versions of the weights that made an event up to here, ascending.
+    /// Versions of the weights that generated the events up to here, ascending.
     pub versions: Vec<u64>,
-    /// The text is whole with them, and waits for its score.
+    /// Whether these events complete the text, which then waits for its score.
     #[serde(default)]
     pub whole: bool,
 }
 
-/// Texts of samples that are being made, so that another runner goes on with them.
+/// Texts of unfinished samples, from which another runner can continue.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnfinishedTexts {
-    /// Names the write that made this value.
+    /// Id of the write that created this value.
     pub write: String,
     /// The pieces.
     pub pieces: Vec<TextPiece>,
 }
 
-/// Largest part or chunk: the store's values end at a megabyte, and JSON escapes.
+/// Size limit of a record before JSON escaping; values in the store are limited to a megabyte.
 pub const RECORD_LIMIT_BYTES: usize = 600_000;
 
-/// Name of a part or chunk, in the order of their numbers.
+/// Name of a record, which sorts by its number.
 #[must_use]
 pub fn numbered(submission: &str, number: usize) -> String {
     format!("{submission}-{number:05}")
 }
 
-/// Cuts items or results into records below the limit, in order.
-pub fn cut<T>(all: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+/// Splits entries, in order, into records of at most [`RECORD_LIMIT_BYTES`]; a larger entry gets
+/// a record of its own.
+pub fn cut<T>(entries: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut records: Vec<Vec<T>> = Vec::new();
-    let mut filled = usize::MAX;
-    for one in all {
-        let size = size_bytes(&one);
-        if filled.saturating_add(size) > RECORD_LIMIT_BYTES {
+    let mut filled_bytes = usize::MAX;
+    for entry in entries {
+        let size = size_bytes(&entry);
+        if filled_bytes.saturating_add(size) > RECORD_LIMIT_BYTES {
             records.push(Vec::new());
-            filled = 0;
+            filled_bytes = 0;
         }
-        filled += size;
+        filled_bytes += size;
         if let Some(last) = records.last_mut() {
-            last.push(one);
+            last.push(entry);
         }
     }
     records
 }
 
-/// About the bytes that an item takes in a part.
+/// Estimates the bytes that an item takes in a part.
 #[must_use]
 pub fn item_bytes(item: &Item) -> usize {
     let headers: usize = item
@@ -145,14 +146,14 @@
     item.body_base64.len() + item.path.len() + headers + reward_bytes + 200
 }
 
-/// About the bytes that a piece of a text takes in a record.
+/// Estimates the bytes that a piece of a text takes in a record.
 #[must_use]
 pub fn piece_bytes(piece: &TextPiece) -> usize {
     let text: usize = piece.events.iter().map(|event| event.len() + 4).sum();
     text + piece.item.len() + 100
 }
 
-/// About the bytes that a result takes in a chunk.
+/// Estimates the bytes that a result takes in a chunk.
 #[must_use]
 pub fn result_bytes(result: &ItemResult) -> usize {
     result.text.len() + result.item.len() + 100
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -1,4 +1,4 @@
-//! Removing submissions from the store once their results need no longer be read.
+//! Removes submissions from the store after the retention time of their results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,38 +9,38 @@
 use crate::submission::desk::Desk;
 use crate::submission::records::numbered;
 
-/// Time between looks at whether a submission is to be removed.
-const CLEAN_UP_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which a submission is checked for removal, and a failed removal is retried.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Desk {
-    /// Removes a submission from the store once its results need no longer be read.
+    /// Removes an ended submission from the store after the retention time of its results.
     pub(in crate::submission) async fn clean_up(self, board: Arc<Board>) {
-        let due = board.started() + self.shared.settings.now().keep_results();
+        let remove_at = board.started() + self.shared.settings.now().keep_results();
         loop {
             if board.is_given_up() {
                 return;
             }
-            if self.shared.clock.now() >= due && !board.is_running() {
+            if self.shared.clock.now() >= remove_at && !board.is_running() {
                 break;
             }
-            tokio::time::sleep(CLEAN_UP_EVERY).await;
+            tokio::time::sleep(CLEAN_UP_INTERVAL).await;
         }
         while let Err(error) = self.remove(&board).await {
             self.shared.journal.event(
                 "submission_not_removed",
                 &[("submission", &board.id), ("cause", &error)],
             );
-            tokio::time::sleep(CLEAN_UP_EVERY).await;
+            tokio::time::sleep(CLEAN_UP_INTERVAL).await;
         }
-        self.lock().boards.retain(|held| held.id != board.id);
+        self.lock().submissions.retain(|other| other.id != board.id);
         self.shared.heads.forget(&board.id);
         self.shared
             .journal
             .event("submission_removed", &[("submission", &board.id)]);
     }
 
-    /// Removes results and items, then the head: as long as that is there, a node that
-    /// starts finds what is left to remove.
+    /// Removes results and items, then the head. The head goes last, so that after a crash the
+    /// restarted node finds what is left to remove.
     async fn remove(&self, board: &Board) -> Result<(), StoreError> {
         let Some(known) = self.shared.heads.reread(&board.id).await? else {
             return Ok(());
--- a/crates/node/src/submission/runners.rs
+++ b/crates/node/src/submission/runners.rs
@@ -1,5 +1,4 @@
-//! Other nodes as runners of submissions: questions are passed on to them, and one that
-//! stays silent is taken for gone.
+//! Calls to other nodes that run submissions, and detection of runners that are down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,54 +23,54 @@
 use crate::link::LinkError;
 use crate::link::Links;
 
-/// Time for a runner's answer beyond what it was asked to wait: less than clients wait
-/// beyond it for theirs.
-const PEER_PATIENCE: Duration = Duration::from_millis(1_200);
+/// Timeout of a forwarded question, added to the wait that it asks for. Clients allow more
+/// than that beyond their wait.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// A runner that was not reached for this long is taken for gone. Shorter, and
-/// a pause of its VM moves what it runs; longer, and its trainer waits.
-const GONE_AFTER: Duration = Duration::from_secs(2);
+/// A runner that has not answered for this long is regarded as down. A shorter time would move
+/// submissions away during a pause of their runner's VM; a longer one keeps trainers waiting.
+const DOWN_AFTER: Duration = Duration::from_secs(2);
 
-/// A question that a runner answers at once.
+/// Path of a request that a node answers immediately.
 pub const PING_PATH: &str = "/peer/ping";
 
-/// Account that a question or a step is for, between nodes: who has the key was looked up
-/// where the client asked, and its key goes no further.
+/// Header that names the account of a question or step between nodes. The node that the client
+/// called resolves the API key and doesn't forward it.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-firweir-account");
 
-/// Least time for its answer.
-const PING_PATIENCE: Duration = Duration::from_millis(200);
+/// Timeout of a ping, and the least one of those in [`Runners::is_gone`].
+const PING_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A node that has not answered a call by then is pinged beside it: accepting a step takes
-/// two writes of the store.
+/// A node is pinged if it has not answered a call within this time. The call itself may take
+/// longer: accepting a step takes two writes to the store.
 const PING_AFTER: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
-struct Unreached {
+struct Unanswered {
     address: SocketAddr,
     since: Instant,
 }
 
-/// What is known of other nodes that run submissions.
+/// Forwards calls to nodes that run submissions, and tracks which ones don't answer.
 #[derive(Debug)]
 pub struct Runners {
     links: Links,
     clock: Arc<dyn Clock>,
-    unreached: Mutex<Vec<Unreached>>,
+    unanswered: Mutex<Vec<Unanswered>>,
 }
 
 impl Runners {
-    /// None was asked yet.
+    /// Creates it without any unanswered calls.
     #[must_use]
     pub fn new(links: Links, clock: Arc<dyn Clock>) -> Self {
         Self {
             links,
             clock,
-            unreached: Mutex::default(),
+            unanswered: Mutex::default(),
         }
     }
 
-    /// Passes a client's question on to a runner.
+    /// Forwards a client's question to a runner.
     ///
     /// # Errors
     ///
@@ -91,20 +90,19 @@
         *request.uri_mut() = call.uri.clone();
         *request.headers_mut() = call.headers.clone();
         strip_framing(request.headers_mut());
-        self.note_asked(runner);
-        let passing = self.links.call(runner, request, wait + PEER_PATIENCE);
-        let answer = passing.await;
+        self.note_called(runner);
+        let forwarding = self.links.call(runner, request, wait + PEER_TIMEOUT);
+        let answer = forwarding.await;
         if answer.is_ok() {
-            self.note_reached(runner);
+            self.note_answered(runner);
         }
         answer
     }
 
-    /// Makes a call to a node for as long as that is alive: `None` once it has answered
-    /// neither the call nor a ping.
+    /// Makes a call to a node; `None` once the node has answered neither the call nor a ping.
     ///
-    /// Without it, each node that a trainer submits its step through would wait for a home that
-    /// is gone for as long as a slow store may take, and the client have left by then.
+    /// Without the ping, each node that a trainer submits its step to would wait for a home that
+    /// is down as long as for one with a slow store, and the client would disconnect first.
     pub async fn while_alive<T>(
         &self,
         node: SocketAddr,
@@ -112,33 +110,33 @@
     ) -> Option<T> {
         let pinging = async {
             tokio::time::sleep(PING_AFTER).await;
-            if self.ping(node, PING_PATIENCE).await.is_ok() {
+            if self.ping(node, PING_TIMEOUT).await.is_ok() {
                 std::future::pending::<()>().await;
             }
         };
         unless(call, pinging).await
     }
 
-    async fn ping(&self, node: SocketAddr, patience: Duration) -> Result<(), LinkError> {
+    async fn ping(&self, node: SocketAddr, timeout: Duration) -> Result<(), LinkError> {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = http::Uri::from_static(PING_PATH);
-        self.links.call(node, request, patience).await.map(drop)
+        self.links.call(node, request, timeout).await.map(drop)
     }
 
-    /// Whether a runner that did not answer is gone. Asks it until [`GONE_AFTER`] has
-    /// passed since it was first asked: a client that had to come again for that would wait
-    /// twice as long.
+    /// Whether a runner that did not answer is down. Pings it until [`DOWN_AFTER`] has passed
+    /// since the first unanswered call: if this were left to retries of the client, it would
+    /// wait twice as long.
     pub async fn is_gone(&self, runner: SocketAddr, mut error: LinkError) -> bool {
         loop {
             let silent_for = self.silent_for(runner);
-            // Nothing listens there: the process is gone, with all it had in memory.
-            if error == LinkError::Refused || silent_for >= GONE_AFTER {
+            // Nothing listens on the port: the process is gone, with its memory.
+            if error == LinkError::Refused || silent_for >= DOWN_AFTER {
                 return true;
             }
-            let left = GONE_AFTER.saturating_sub(silent_for).max(PING_PATIENCE);
-            match self.ping(runner, left).await {
+            let timeout = DOWN_AFTER.saturating_sub(silent_for).max(PING_TIMEOUT);
+            match self.ping(runner, timeout).await {
                 Ok(()) => {
-                    self.note_reached(runner);
+                    self.note_answered(runner);
                     return false;
                 }
                 Err(failed) => error = failed,
@@ -146,37 +144,38 @@
         }
     }
 
-    /// Notes that a runner was asked and has not answered yet.
-    fn note_asked(&self, runner: SocketAddr) {
+    /// Notes that a runner was called and has not answered yet.
+    fn note_called(&self, runner: SocketAddr) {
         let since = self.clock.now();
-        let mut unreached = self.lock();
-        // One that is older was left behind by a client that went away.
-        unreached.retain(|held| since.duration_since(held.since) < GONE_AFTER * 2);
-        if !unreached.iter().any(|held| held.address == runner) {
+        let mut unanswered = self.lock();
+        // Older entries are from calls that were cancelled as their clients disconnected.
+        unanswered.retain(|entry| since.duration_since(entry.since) < DOWN_AFTER * 2);
+        if !unanswered.iter().any(|entry| entry.address == runner) {
             let address = runner;
-            unreached.push(Unreached { address, since });
+            unanswered.push(Unanswered { address, since });
         }
     }
 
-    fn note_reached(&self, runner: SocketAddr) {
-        self.lock().retain(|held| held.address != runner);
+    fn note_answered(&self, runner: SocketAddr) {
+        self.lock().retain(|entry| entry.address != runner);
     }
 
+    /// Time since the first call that the runner has not answered.
     fn silent_for(&self, runner: SocketAddr) -> Duration {
         let now = self.clock.now();
-        let unreached = self.lock();
-        let asked = unreached.iter().find(|held| held.address == runner);
-        asked.map_or(Duration::ZERO, |held| now.duration_since(held.since))
+        let unanswered = self.lock();
+        let called = unanswered.iter().find(|entry| entry.address == runner);
+        called.map_or(Duration::ZERO, |entry| now.duration_since(entry.since))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Unreached>> {
-        self.unreached
+    fn lock(&self) -> MutexGuard<'_, Vec<Unanswered>> {
+        self.unanswered
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Names the account of a client's call for other nodes, in place of its key.
+/// Replaces the API key of a client's call by the name of its account, for other nodes.
 pub fn name_account(headers: &mut HeaderMap, account: Option<&str>) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(ACCOUNT);
@@ -186,23 +185,23 @@
     }
 }
 
-/// The account that another node has named.
+/// Returns the account that another node has set in the headers.
 #[must_use]
 pub fn named_account(headers: &HeaderMap) -> Option<String> {
     let name = headers.get(ACCOUNT)?.as_bytes();
     Some(String::from_utf8_lossy(name).into_owned())
 }
 
-/// What a call brings, unless `other` ends first.
+/// Returns the output of a call; `None` if `other` completes first.
 async fn unless<T>(call: impl Future<Output = T>, other: impl Future<Output = ()>) -> Option<T> {
     tokio::select! {
         biased;
-        brought = call => Some(brought),
+        output = call => Some(output),
         () = other => None,
     }
 }
 
-/// Takes out what describes how the body came, which the next connection sets anew.
+/// Removes the headers that depend on the connection, which the next one sets itself.
 pub fn strip_framing(headers: &mut HeaderMap) {
     let framing = [
         header::CONNECTION,
--- a/crates/node/src/submission/saver.rs
+++ b/crates/node/src/submission/saver.rs
@@ -1,12 +1,13 @@
-//! Saves texts of samples that are being made, so that a sample survives its runner.
+//! Saves the texts of unfinished samples to the store, so that they survive their runner.
 //!
-//! **Load:** the longest samples take nearly all the time that a step has. **Without it:** a
-//! runner that dies, or loses power with all others, takes their texts along; they begin
-//! anew elsewhere and the groups that they belong to come too late. **How:** a numbered record
-//! each [`SAVE_EVERY`] with what is new of the long ones. Records are created only, as
-//! chunks of results are: a runner that meets a record of its number is not the only one,
-//! and saves no more. A text that is whole and waits for its score is saved whatever its
-//! length: its runner's successor then only asks for the score. Whoever runs the submission next reads them and goes on.
+//! The longest samples take nearly all the time of a step. Were their texts lost with a runner
+//! that crashes, or loses power together with all others, their groups would complete too late.
+//!
+//! Each [`SAVE_INTERVAL`] the runner creates a numbered record with the new events of the longer
+//! texts. A text that is complete and waits for its score is saved at any length, so that the
+//! next runner only has to request the score. Like result chunks, records are never changed. A
+//! runner that finds the next number taken stops saving, as another node runs the submission.
+//! The next runner reads the records and continues the texts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,60 +27,60 @@
 use crate::submission::records::piece_bytes;
 use crate::submission::texts::SavedText;
 
-/// Time between two records: what a sample loses with its runner is a second on
-/// average, and a step costs three calls of the store.
-const SAVE_EVERY: Duration = Duration::from_secs(2);
+/// Interval between records: a sample loses a second of text with its runner on average, and a
+/// step costs three calls to the store.
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long one write is tried.
-const WRITE_PATIENCE: Duration = Duration::from_millis(1_500);
+/// How long a write is retried.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Saves the texts of one submission.
 #[derive(Debug)]
 pub struct Saver {
     /// The submission.
     pub board: Arc<Board>,
-    /// Has the texts.
+    /// Provides the texts.
     pub drafting: Drafting,
-    /// The platform's store.
+    /// The platform store.
     pub store: Store,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Events.
+    /// The event log.
     pub journal: Journal,
 }
 
 impl Saver {
-    /// Saves for as long as this node runs the submission and is the only one.
+    /// Saves texts until the submission is complete, has ended, or is run by another node.
     pub async fn run(self) {
         let mut saved = self.board.saved_texts();
-        // A record whose write is still open: it may yet appear, so that nothing else may
-        // get its number.
-        let mut open: Option<UnfinishedTexts> = None;
+        // A record whose write had no answer. It may still appear in the store, so it is
+        // retried before another record may use its number.
+        let mut unconfirmed: Option<UnfinishedTexts> = None;
         loop {
-            tokio::time::sleep(SAVE_EVERY).await;
+            tokio::time::sleep(SAVE_INTERVAL).await;
             if !self.board.is_running() || self.board.is_complete() {
                 return;
             }
-            let Some(record) = open.take().or_else(|| self.next_record(&saved)) else {
+            let Some(record) = unconfirmed.take().or_else(|| self.next_record(&saved)) else {
                 continue;
             };
             match self.write(&record).await {
                 Ok(Created::Now) => {
                     self.board
                         .note_saved_records(self.board.saved_records() + 1);
-                    note_saved(&mut saved, &record);
+                    update_saved(&mut saved, &record);
                 }
                 Ok(Created::Before) => {
-                    self.event("texts_met", &"another-runner");
+                    self.log_event("texts_met", &"another-runner");
                     return;
                 }
-                Err(StoreError::Unknown) => open = Some(record),
-                Err(error) => self.event("texts_unsaved", &error),
+                Err(StoreError::Unknown) => unconfirmed = Some(record),
+                Err(error) => self.log_event("texts_unsaved", &error),
             }
         }
     }
 
-    /// What is new, as far as it fits one record.
+    /// Returns a record of unsaved events, up to the size limit; `None` if there are none.
     fn next_record(&self, saved: &[SavedText]) -> Option<UnfinishedTexts> {
         let pieces = self.drafting.unsaved_texts(&self.board.id, saved);
         let mut records = cut(pieces, piece_bytes);
@@ -91,13 +92,13 @@
 
     async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
         let name = numbered(&self.board.id, self.board.saved_records());
-        let until = self.clock.now() + WRITE_PATIENCE;
+        let until = self.clock.now() + WRITE_TIMEOUT;
         let kind = Kind::UnfinishedTexts;
         let creating = self.store.create(kind, &name, record, &record.write, until);
         creating.await
     }
 
-    fn event(&self, name: &str, cause: &dyn std::fmt::Display) {
+    fn log_event(&self, name: &str, cause: &dyn std::fmt::Display) {
         let submission = &self.board.id;
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("submission", submission), ("cause", cause)];
@@ -105,14 +106,14 @@
     }
 }
 
-fn note_saved(saved: &mut Vec<SavedText>, record: &UnfinishedTexts) {
+fn update_saved(saved: &mut Vec<SavedText>, record: &UnfinishedTexts) {
     for piece in &record.pieces {
         let text = SavedText {
             item: piece.item.clone(),
             events: piece.after + piece.events.len(),
             whole: piece.whole,
         };
-        match saved.binary_search_by(|held| held.item.cmp(&piece.item)) {
+        match saved.binary_search_by(|other| other.item.cmp(&piece.item)) {
             Ok(at) => saved[at] = text,
             Err(at) => saved.insert(at, text),
         }
--- a/crates/node/tests/head_view.rs
+++ b/crates/node/tests/head_view.rs
@@ -1,4 +1,4 @@
-//! When a runner may start samples of a submission that others may have ended.
+//! When a runner may start samples of a submission that another node may have ended.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -11,17 +11,17 @@
 
 const END_APPLIES: Duration = Duration::from_secs(3);
 
-/// A clock that a test sets.
+/// A clock that is set by hand.
 #[derive(Debug, Default)]
-struct SetClock(AtomicU64);
+struct ManualClock(AtomicU64);
 
-impl SetClock {
+impl ManualClock {
     fn set(&self, now_ms: u64) {
         self.0.store(now_ms, Ordering::Relaxed);
     }
 }
 
-impl BootClock for SetClock {
+impl BootClock for ManualClock {
     fn since_boot(&self) -> Duration {
         Duration::from_millis(self.0.load(Ordering::Relaxed))
     }
@@ -30,19 +30,19 @@
 struct Case {
     name: &'static str,
     confirmed_ms: Option<u64>,
-    in_vain_ms: Option<u64>,
+    unanswered_ms: Option<u64>,
     now_ms: u64,
     starts: bool,
 }
 
-/// Guards against samples of an ended submission that start by an old view of its head: on a
-/// slow VM, after a suspension, or at a node that took the submission over as it ended.
+/// Guards against samples of an ended submission that start after an outdated read of its head:
+/// on a slow VM, after a suspension, or at a node that took the submission over as it ended.
 #[tokio::test(start_paused = true)]
 async fn samples_start_under_a_young_head_only() {
     let case = |name, confirmed_ms, now_ms, starts| Case {
         name,
         confirmed_ms,
-        in_vain_ms: None,
+        unanswered_ms: None,
         now_ms,
         starts,
     };
@@ -53,21 +53,21 @@
         case("suspended since the last look", Some(10_000), 40_000, false),
         case("never read", None, 500, false),
         Case {
-            in_vain_ms: Some(14_000),
+            unanswered_ms: Some(14_000),
             ..case("nobody reaches the store", Some(10_000), 14_100, true)
         },
         Case {
-            in_vain_ms: Some(14_000),
+            unanswered_ms: Some(14_000),
             ..case("the store may be back", Some(10_000), 17_000, false)
         },
     ];
     for case in cases {
-        let (clock, view) = (SetClock::default(), HeadView::default());
+        let (clock, view) = (ManualClock::default(), HeadView::default());
         let limits = HeadLimits::new(END_APPLIES);
         case.confirmed_ms
             .map(Duration::from_millis)
             .inspect(|sent| view.confirm(*sent));
-        case.in_vain_ms
+        case.unanswered_ms
             .map(Duration::from_millis)
             .inspect(|sent| view.note_in_vain(*sent));
         clock.set(case.now_ms);
@@ -77,11 +77,14 @@
     }
 }
 
-/// Guards against samples that wait for ever: for the next look, or for the end.
+/// Guards against samples that wait for ever after a read of the head, or after the end.
 #[tokio::test(start_paused = true)]
 async fn a_look_or_the_end_lets_samples_go_on() {
     for ends in [false, true] {
-        let (clock, view) = (Arc::new(SetClock::default()), Arc::new(HeadView::default()));
+        let (clock, view) = (
+            Arc::new(ManualClock::default()),
+            Arc::new(HeadView::default()),
+        );
         let ended = Arc::new(AtomicU64::new(0));
         clock.set(60_000);
         let waiting = tokio::spawn({
--- a/crates/node/tests/texts.rs
+++ b/crates/node/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Texts of unfinished samples, put together from what their runners saved.
+//! Texts of unfinished samples, joined from the pieces that their runners saved.
 
 use firweir_node::submission::records::TextPiece;
 use firweir_node::submission::texts::put_together;
@@ -20,8 +20,8 @@
     versions: &'static [u64],
 }
 
-/// A runner dies while it makes a long sample, and another one goes on from what was
-/// saved. If that has a gap or an event twice, the trainer gets a wrong text.
+/// A runner crashes during a long sample, and another one continues from the saved pieces. If
+/// the joined text had a gap or an event twice, the trainer would get a wrong text.
 #[test]
 fn a_text_goes_on_where_what_was_saved_ends() {
     let cases = [
