--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -486,10 +486,10 @@
         median_s: Option<f64>,
     ) -> Option<Rest> {
         let here = &self.engines[self.engine_index(running.engine)?];
-        let own_s = here.speed?.own_s()?;
+        let undisturbed_s = here.speed?.undisturbed_s()?;
         let events = self.event_counts.rest(running.events);
         let there_s = self.engines[to].remaining_s(now, events, median_s)?;
-        Some(Rest::with_move(own_s * events, there_s))
+        Some(Rest::with_move(undisturbed_s * events, there_s))
     }
 
     fn record_moved(&mut self, key: DraftKey) {
@@ -539,11 +539,14 @@
         if was_moved {
             return false;
         }
-        match self.engines[from].speed.and_then(|speed| speed.own_s()) {
-            Some(own_s) => {
+        match self.engines[from]
+            .speed
+            .and_then(|speed| speed.undisturbed_s())
+        {
+            Some(undisturbed_s) => {
                 let events = self.event_counts.rest(running.events);
-                let fastest_s = self.event_times.fastest_s.unwrap_or(own_s);
-                Rest::with_move(own_s * events, fastest_s * events).is_worth_moving()
+                let fastest_s = self.event_times.fastest_s.unwrap_or(undisturbed_s);
+                Rest::with_move(undisturbed_s * events, fastest_s * events).is_worth_moving()
             }
             None => running.has_stayed_long_enough(now, self.engines[from].slowness(median_s)),
         }
@@ -837,7 +840,9 @@
 
     /// Records how long work takes on its VM at the moment, in percent of the usual time.
     fn note_speed(&mut self, now: Instant, percent: u32) {
-        let speed = self.speed.get_or_insert(Speed::known(self.mean_event_s));
+        let speed = self
+            .speed
+            .get_or_insert(Speed::from_mean(self.mean_event_s));
         speed.note_report(now, percent);
     }
 
@@ -847,9 +852,9 @@
             self.relative_delay = 0.0;
             return;
         };
-        let own_s = speed.own_s().unwrap_or(median_s);
+        let undisturbed_s = speed.undisturbed_s().unwrap_or(median_s);
         let median_sample_s = median_s * events.max(1.0);
-        let delay_s = speed.expected_delay_s(now, own_s * events.max(1.0));
+        let delay_s = speed.expected_delay_s(now, undisturbed_s * events.max(1.0));
         self.relative_delay = delay_s / median_sample_s.max(f64::MIN_POSITIVE);
     }
 
@@ -868,7 +873,7 @@
         }
         if let Some(speed) = &mut self.speed {
             speed.learn(now, pause);
-            self.mean_event_s = speed.own_s();
+            self.mean_event_s = speed.undisturbed_s();
             return;
         }
         let mean_s = self.mean_event_s.unwrap_or(pause_s);
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -353,9 +353,9 @@
             speed.learn(now, elapsed);
         }
         // Slowness that the upstream's own report explains must not eject it.
-        let unexplained = upstream
-            .speed
-            .map_or(elapsed, |speed| speed.speed().unexplained(now, elapsed));
+        let unexplained = upstream.speed.map_or(elapsed, |speed| {
+            speed.speed().undisturbed_time(now, elapsed)
+        });
         upstream
             .health
             .record_end(now, ending, cost_tokens, unexplained, may_eject);
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Speed {
     /// Time of one unit of work (an event or a call) on the undisturbed VM.
-    own_s: Option<f64>,
+    undisturbed_s: Option<f64>,
     /// Observed time that the estimate is based on, at most [`AVERAGING_TIME_S`].
     observed_s: f64,
     last_learnt_at: Option<Instant>,
@@ -96,10 +96,14 @@
     /// Starts from the mean time per unit of work, in seconds, that was known before the first
     /// report; `None` if there is none.
     #[must_use]
-    pub const fn known(own_s: Option<f64>) -> Self {
+    pub const fn from_mean(undisturbed_s: Option<f64>) -> Self {
         Self {
-            own_s,
-            observed_s: if own_s.is_some() { PRIOR_WEIGHT_S } else { 0.0 },
+            undisturbed_s,
+            observed_s: if undisturbed_s.is_some() {
+                PRIOR_WEIGHT_S
+            } else {
+                0.0
+            },
             last_learnt_at: None,
             report: None,
         }
@@ -128,17 +132,17 @@
         };
         // Units that run concurrently share the observed time.
         let observed_s = elapsed.min(took).as_secs_f64() * weight;
-        let mean_s = self.own_s.unwrap_or(unit_s);
+        let mean_s = self.undisturbed_s.unwrap_or(unit_s);
         let unit_s = unit_s.min(mean_s * OUTLIER_FACTOR);
         self.observed_s = (self.observed_s + observed_s).min(AVERAGING_TIME_S);
         let step = (observed_s / self.observed_s.max(f64::MIN_POSITIVE)).min(1.0);
-        self.own_s = Some(mean_s + (unit_s - mean_s) * step);
+        self.undisturbed_s = Some(mean_s + (unit_s - mean_s) * step);
     }
 
     /// Seconds per unit of work on the undisturbed VM; `None` until a time is known.
     #[must_use]
-    pub const fn own_s(&self) -> Option<f64> {
-        self.own_s
+    pub const fn undisturbed_s(&self) -> Option<f64> {
+        self.undisturbed_s
     }
 
     /// Factor by which work takes longer now than on the undisturbed VM; 1 without a report.
@@ -162,7 +166,7 @@
 
     /// The measured time divided by the factor of a recent report; unchanged if there is none.
     #[must_use]
-    pub fn unexplained(&self, now: Instant, took: Duration) -> Duration {
+    pub fn undisturbed_time(&self, now: Instant, took: Duration) -> Duration {
         took.div_f64(self.recent_factor(now).unwrap_or(1.0))
     }
 
@@ -308,7 +312,7 @@
     pub fn of<'a>(now: Instant, upstreams: impl Iterator<Item = &'a CallSpeed> + Clone) -> Self {
         let call_times = upstreams
             .clone()
-            .filter_map(|upstream| upstream.speed.own_s());
+            .filter_map(|upstream| upstream.speed.undisturbed_s());
         let mut times: Vec<f64> = call_times.collect();
         times.sort_unstable_by(f64::total_cmp);
         let is_recent =
@@ -400,8 +404,8 @@
     /// Factor by which a call sent now takes longer than at the median of the peers.
     #[must_use]
     pub fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
-        let undisturbed = match (self.speed.own_s(), peers.median_call_s) {
-            (Some(own_s), Some(median_s)) if median_s > 0.0 => own_s / median_s,
+        let undisturbed = match (self.speed.undisturbed_s(), peers.median_call_s) {
+            (Some(undisturbed_s), Some(median_s)) if median_s > 0.0 => undisturbed_s / median_s,
             _ => 1.0,
         };
         undisturbed * self.speed.disturbance(now)
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -51,7 +51,7 @@
             speed.learn(at(ms), Duration::from_millis(125));
         }
     }
-    speed.own_s().unwrap_or_default()
+    speed.undisturbed_s().unwrap_or_default()
 }
 
 /// Guards against a reported disturbance that enters the undisturbed time of an engine.
