--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::speed::EventCounts;
+use crate::speed::EventHistogram;
 use crate::speed::Rest;
 use crate::speed::Speed;
 use crate::work::ToldLoad;
@@ -221,7 +221,7 @@
     start_count: u64,
     event_times: EventTimes,
     /// Event counts of samples that are complete.
-    event_counts: EventCounts,
+    event_counts: EventHistogram,
     /// Samples that were moved for speed; sorted.
     moved_for_speed: Vec<DraftKey>,
     /// Time for which `rankings` are valid; `None` after any change other than a start.
@@ -376,11 +376,7 @@
         self.engines[at].reported = Some((reported, now));
         if let Some(percent) = reported.time_percent {
             self.engines[at].note_speed(now, percent);
-            self.engines[at].update_delay(
-                now,
-                self.event_counts.usual(),
-                self.event_times.median_s,
-            );
+            self.engines[at].update_delay(now, self.event_counts.mean(), self.event_times.median_s);
             self.ranked_at = None;
         }
     }
@@ -487,7 +483,7 @@
     ) -> Option<Rest> {
         let here = &self.engines[self.engine_index(running.engine)?];
         let undisturbed_s = here.speed?.undisturbed_s()?;
-        let events = self.event_counts.rest(running.events);
+        let events = self.event_counts.remaining(running.events);
         let there_s = self.engines[to].remaining_s(now, events, median_s)?;
         Some(Rest::with_move(undisturbed_s * events, there_s))
     }
@@ -544,7 +540,7 @@
             .and_then(|speed| speed.undisturbed_s())
         {
             Some(undisturbed_s) => {
-                let events = self.event_counts.rest(running.events);
+                let events = self.event_counts.remaining(running.events);
                 let fastest_s = self.event_times.fastest_s.unwrap_or(undisturbed_s);
                 Rest::with_move(undisturbed_s * events, fastest_s * events).is_worth_moving()
             }
@@ -727,7 +723,7 @@
                 computed_at: Some(now),
             };
             for engine in &mut self.engines {
-                engine.update_delay(now, self.event_counts.usual(), self.event_times.median_s);
+                engine.update_delay(now, self.event_counts.mean(), self.event_times.median_s);
             }
         }
         self.event_times.median_s
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -211,14 +211,14 @@
 
 /// Histogram of the number of events per sample. Older samples lose weight exponentially.
 #[derive(Debug, Clone)]
-pub struct EventCounts {
+pub struct EventHistogram {
     mean_events: f64,
     samples: u32,
     /// Shares of the samples by their number of events.
     buckets: [f64; BUCKETS],
 }
 
-impl Default for EventCounts {
+impl Default for EventHistogram {
     fn default() -> Self {
         Self {
             mean_events: 0.0,
@@ -228,7 +228,7 @@
     }
 }
 
-impl EventCounts {
+impl EventHistogram {
     /// Records a sample that has ended with this number of events.
     pub fn learn(&mut self, events: u32) {
         self.samples = self.samples.saturating_add(1);
@@ -243,14 +243,14 @@
 
     /// Mean number of events; 0 until a sample has ended.
     #[must_use]
-    pub const fn usual(&self) -> f64 {
+    pub const fn mean(&self) -> f64 {
         self.mean_events
     }
 
     /// Expected number of further events of a sample that has produced `events_done`: the mean
     /// over longer samples. A sample longer than nearly all others is expected to be half done.
     #[must_use]
-    pub fn rest(&self, events_done: u32) -> f64 {
+    pub fn remaining(&self, events_done: u32) -> f64 {
         let done = f64::from(events_done);
         if self.samples < MIN_SAMPLES {
             return done.max(self.mean_events);
