--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -596,7 +596,7 @@
         };
         let rest = rest?;
         let ms = |seconds: f64| (seconds * 1e3) as u64;
-        Some((ms(rest.here_s), ms(rest.there_s)))
+        Some((ms(rest.current_engine_s), ms(rest.other_engine_s)))
     }
 
     /// Lists the item, or lets it wait for another engine.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -17,7 +17,7 @@
 use std::time::Instant;
 
 use crate::speed::EventHistogram;
-use crate::speed::Rest;
+use crate::speed::RemainingTime;
 use crate::speed::Speed;
 use crate::work::ToldLoad;
 use crate::work::UpstreamKey;
@@ -84,7 +84,7 @@
     Silent,
     /// Another engine is faster. Holds the expected remaining times; `None` if the engine does not
     /// report its speed.
-    Slow(Option<Rest>),
+    Slow(Option<RemainingTime>),
 }
 
 /// A sample that is to be moved to another engine.
@@ -480,12 +480,15 @@
         running: &Running,
         to: usize,
         median_s: Option<f64>,
-    ) -> Option<Rest> {
+    ) -> Option<RemainingTime> {
         let here = &self.engines[self.engine_index(running.engine)?];
         let undisturbed_s = here.speed?.undisturbed_s()?;
         let events = self.event_counts.remaining(running.events);
         let there_s = self.engines[to].remaining_s(now, events, median_s)?;
-        Some(Rest::with_move(undisturbed_s * events, there_s))
+        Some(RemainingTime::with_move_cost(
+            undisturbed_s * events,
+            there_s,
+        ))
     }
 
     fn record_moved(&mut self, key: DraftKey) {
@@ -542,7 +545,8 @@
             Some(undisturbed_s) => {
                 let events = self.event_counts.remaining(running.events);
                 let fastest_s = self.event_times.fastest_s.unwrap_or(undisturbed_s);
-                Rest::with_move(undisturbed_s * events, fastest_s * events).is_worth_moving()
+                RemainingTime::with_move_cost(undisturbed_s * events, fastest_s * events)
+                    .is_worth_moving()
             }
             None => running.has_stayed_long_enough(now, self.engines[from].slowness(median_s)),
         }
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -271,29 +271,29 @@
 
 /// Expected remaining time of a sample on its current engine and on another one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rest {
+pub struct RemainingTime {
     /// Remaining seconds on its current engine.
-    pub here_s: f64,
+    pub current_engine_s: f64,
     /// Remaining seconds on another engine, including the cost of the move.
-    pub there_s: f64,
+    pub other_engine_s: f64,
 }
 
-impl Rest {
-    /// Adds the cost of a move to `there_s`. The caller computes `here_s` from the undisturbed
-    /// time of the current engine, and `there_s` from the time and disturbance of the other one.
+impl RemainingTime {
+    /// Adds the cost of a move to `other_engine_s`. The caller computes `current_engine_s` from the undisturbed
+    /// time of the current engine, and `other_engine_s` from the time and disturbance of the other one.
     #[must_use]
-    pub const fn with_move(here_s: f64, there_s: f64) -> Self {
+    pub const fn with_move_cost(current_engine_s: f64, other_engine_s: f64) -> Self {
         Self {
-            here_s,
-            there_s: there_s + MOVE_COST_S,
+            current_engine_s,
+            other_engine_s: other_engine_s + MOVE_COST_S,
         }
     }
 
     /// Whether the sample would end enough sooner on the other engine to be moved.
     #[must_use]
     pub fn is_worth_moving(&self) -> bool {
-        let gain_s = self.here_s - self.there_s;
-        gain_s >= MIN_MOVE_GAIN_S && self.here_s >= self.there_s * MIN_MOVE_SPEEDUP
+        let gain_s = self.current_engine_s - self.other_engine_s;
+        gain_s >= MIN_MOVE_GAIN_S && self.current_engine_s >= self.other_engine_s * MIN_MOVE_SPEEDUP
     }
 }
 
