--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -14,7 +14,7 @@
 use crate::route::subset;
 use crate::share::HeldPart;
 use crate::speed::CallSpeed;
-use crate::speed::Peers;
+use crate::speed::PeerStats;
 use crate::work::Ending;
 use crate::work::Fleet;
 use crate::work::ToldLoad;
@@ -68,7 +68,7 @@
     open: u32,
     free: u32,
     /// Usual speed and load of the upstreams that report them.
-    peers: Peers,
+    peers: PeerStats,
     /// No upstream is ejected for slowness or failures.
     never_ejects: bool,
 }
@@ -199,7 +199,7 @@
             .iter()
             .filter_map(|upstream| upstream.health.comparable_us_per_token());
         let median_speed = median(speeds.collect());
-        self.peers = Peers::of(
+        self.peers = PeerStats::of(
             now,
             self.upstreams
                 .iter()
@@ -276,7 +276,7 @@
             }
             let load = upstream
                 .speed
-                .map(|speed| speed.load_with_one(now, upstream.in_flight, &self.peers));
+                .map(|speed| speed.load_with_next_call(now, upstream.in_flight, &self.peers));
             let inputs = ScoreInputs {
                 in_flight: upstream.in_flight,
                 slots: upstream.open,
@@ -416,7 +416,7 @@
     }
 
     /// Factor by which work that starts now is slower than at its peers.
-    fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
+    fn slowness(&self, now: Instant, peers: &PeerStats) -> f64 {
         match &self.speed {
             Some(speed) => speed.slowness(now, peers) * self.health.overdue_ratio(),
             None => self.health.slowness(),
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -299,14 +299,14 @@
 
 /// Median call time and mean load of the upstreams that serve calls.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Peers {
+pub struct PeerStats {
     /// Median of their undisturbed times of a call.
     median_call_s: Option<f64>,
     /// Mean of the loads that they reported within [`PEER_LOAD_MAX_AGE`].
     mean_load: f64,
 }
 
-impl Peers {
+impl PeerStats {
     /// Computes both from these upstreams.
     #[must_use]
     pub fn of<'a>(now: Instant, upstreams: impl Iterator<Item = &'a CallSpeed> + Clone) -> Self {
@@ -384,7 +384,7 @@
     /// report ages, it is gradually replaced by the mean load of the peers or by the running calls
     /// of this node, whichever is larger.
     #[must_use]
-    pub fn load_with_one(&self, now: Instant, own_calls: u32, peers: &Peers) -> f64 {
+    pub fn load_with_next_call(&self, now: Instant, own_calls: u32, peers: &PeerStats) -> f64 {
         let fresh = freshness(now, self.load_at);
         let sent = self.per_slot(self.sent_since_report);
         let unreported = peers.mean_load.max(self.per_slot(own_calls));
@@ -403,7 +403,7 @@
 
     /// Factor by which a call sent now takes longer than at the median of the peers.
     #[must_use]
-    pub fn slowness(&self, now: Instant, peers: &Peers) -> f64 {
+    pub fn slowness(&self, now: Instant, peers: &PeerStats) -> f64 {
         let undisturbed = match (self.speed.undisturbed_s(), peers.median_call_s) {
             (Some(undisturbed_s), Some(median_s)) if median_s > 0.0 => undisturbed_s / median_s,
             _ => 1.0,
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -11,7 +11,7 @@
 use firweir_policy::route::splitmix64;
 use firweir_policy::slots::Slots;
 use firweir_policy::speed::CallSpeed;
-use firweir_policy::speed::Peers;
+use firweir_policy::speed::PeerStats;
 use firweir_policy::speed::Speed;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
@@ -142,9 +142,11 @@
         let first = (splitmix64(random ^ 1) % UPSTREAMS as u64) as usize;
         let second = (first + 1 + (splitmix64(random ^ 2) % 2) as usize) % UPSTREAMS;
         let reports = &self.reports[node];
-        let peers = Peers::of(self.now(), reports.iter().flatten());
+        let peers = PeerStats::of(self.now(), reports.iter().flatten());
         let load = |at: usize| {
-            reports[at].map_or(0.0, |report| report.load_with_one(self.now(), 0, &peers))
+            reports[at].map_or(0.0, |report| {
+                report.load_with_next_call(self.now(), 0, &peers)
+            })
         };
         if load(second) < load(first) {
             second
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use firweir_policy::speed::CallSpeed;
-use firweir_policy::speed::Peers;
+use firweir_policy::speed::PeerStats;
 use firweir_policy::speed::Speed;
 use firweir_policy::work::ToldLoad;
 
@@ -72,8 +72,8 @@
         time_percent: Some(100),
     };
     let upstream = CallSpeed::new(start, idle);
-    let peers = Peers::of(start, [upstream].iter());
-    let load = upstream.load_with_one(start + Duration::from_secs(2), 3, &peers);
+    let peers = PeerStats::of(start, [upstream].iter());
+    let load = upstream.load_with_next_call(start + Duration::from_secs(2), 3, &peers);
     assert!((load - 4.0 / 6.0).abs() < 1e-9, "{load}");
 }
 
@@ -90,7 +90,7 @@
     };
     let full = CallSpeed::new(start, load(30));
     let idle = CallSpeed::new(later, load(0));
-    let peers = Peers::of(later, [full, idle, idle].iter());
-    let expected = full.load_with_one(later, 0, &peers);
+    let peers = PeerStats::of(later, [full, idle, idle].iter());
+    let expected = full.load_with_next_call(later, 0, &peers);
     assert!((expected - 1.0 / 6.0).abs() < 1e-9, "{expected}");
 }
