--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -843,7 +843,7 @@
         let speed = self
             .speed
             .get_or_insert(Speed::from_mean(self.mean_event_s));
-        speed.note_report(now, percent);
+        speed.record_report(now, percent);
     }
 
     /// Updates `relative_delay` for a sample of `events` events that starts now.
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -311,7 +311,7 @@
             self.free -= upstream.free().min(1);
             upstream.in_flight += 1;
             if let Some(speed) = &mut upstream.speed {
-                speed.note_sent();
+                speed.record_sent();
             }
         }
     }
@@ -322,7 +322,7 @@
             return;
         };
         match &mut self.upstreams[index].speed {
-            Some(speed) => speed.note_load(now, load),
+            Some(speed) => speed.record_load(now, load),
             empty if load.time_percent.is_some() => *empty = Some(CallSpeed::new(now, load)),
             None => {}
         }
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records a report of how long work currently takes, in percent of the undisturbed time.
-    pub fn note_report(&mut self, now: Instant, percent: u32) {
+    pub fn record_report(&mut self, now: Instant, percent: u32) {
         let is_repeat = |last: &Report| {
             last.percent == percent && now.duration_since(last.reported_at) < REPORT_MAX_AGE
         };
@@ -347,23 +347,23 @@
             load_at: now,
             sent_since_report: 0,
         };
-        first.note_load(now, load);
+        first.record_load(now, load);
         first
     }
 
     /// Records a report. If its `time_percent` is `None`, the earlier figure is used until it
     /// expires.
-    pub fn note_load(&mut self, now: Instant, load: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, load: ToldLoad) {
         self.load = load;
         self.load_at = now;
         self.sent_since_report = 0;
         if let Some(percent) = load.time_percent {
-            self.speed.note_report(now, percent);
+            self.speed.record_report(now, percent);
         }
     }
 
     /// Records that this node sent a call there.
-    pub const fn note_sent(&mut self) {
+    pub const fn record_sent(&mut self) {
         self.sent_since_report += 1;
     }
 
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -166,7 +166,7 @@
 
     fn send(&mut self, node: usize, work: WorkKey, upstream: usize) {
         if let Some(report) = &mut self.reports[node][upstream] {
-            report.note_sent();
+            report.record_sent();
         }
         if self.upstreams[upstream].len() >= SLOTS + QUEUE {
             self.refused += 1;
@@ -334,7 +334,7 @@
     let after = |ms| now + Duration::from_millis(ms);
     let is_factor = |percent, ms, factor: f64| {
         let mut speed = Speed::default();
-        speed.note_report(now, percent);
+        speed.record_report(now, percent);
         (speed.disturbance(after(ms)) - factor).abs() < 1e-9
     };
     assert!(is_factor(0, 0, 1.0));
@@ -346,6 +346,6 @@
     );
     assert!(is_factor(250, 1_000, 1.0), "it has expired");
     let mut stuck = Speed::default();
-    (0..40).for_each(|at| stuck.note_report(after(at * 100), 250));
+    (0..40).for_each(|at| stuck.record_report(after(at * 100), 250));
     assert!(stuck.disturbance(after(3_900)) < 1.01, "it never changes");
 }
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -15,8 +15,8 @@
     let start = Instant::now();
     let later = start + Duration::from_secs(10);
     let mut speed = Speed::default();
-    speed.note_report(start, 250);
-    speed.note_report(later, 250);
+    speed.record_report(start, 250);
+    speed.record_report(later, 250);
     assert!((speed.disturbance(later) - 2.5).abs() < 1e-9);
 }
 
@@ -26,7 +26,7 @@
     let start = Instant::now();
     let mut speed = Speed::default();
     for at_ms in (0..=4_000).step_by(500) {
-        speed.note_report(start + Duration::from_millis(at_ms), 250);
+        speed.record_report(start + Duration::from_millis(at_ms), 250);
     }
     let now = start + Duration::from_secs(4);
     assert!((speed.disturbance(now) - 1.0).abs() < 1e-9);
@@ -37,15 +37,15 @@
 fn undisturbed_s_after(is_reported: bool) -> f64 {
     let start = Instant::now();
     let mut speed = Speed::default();
-    speed.note_report(start, 100);
+    speed.record_report(start, 100);
     let at = |ms| start + Duration::from_millis(ms);
     (1..=40).for_each(|event| {
-        speed.note_report(at(event * 50), 100);
+        speed.record_report(at(event * 50), 100);
         speed.learn(at(event * 50), Duration::from_millis(50));
     });
     for ms in (2_000..2_625).step_by(25) {
         if is_reported && ms % 100 == 0 {
-            speed.note_report(at(ms), 250);
+            speed.record_report(at(ms), 250);
         }
         if ms > 2_000 && ms % 125 == 0 {
             speed.learn(at(ms), Duration::from_millis(125));
