--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn keeping_outliers() -> Self {
         Self {
-            slots: Slots::keeping_outliers(),
+            slots: Slots::without_outlier_ejection(),
             ..Self::new()
         }
     }
@@ -120,7 +120,7 @@
     /// Slots reserved for training while there is training work.
     fn training_floor(&self) -> u32 {
         let wanted = self.lane(Kind::Training).reserve.mean().ceil() as u32;
-        let floor = (f64::from(self.slots.open()) * TRAINING_FLOOR_FRACTION) as u32;
+        let floor = (f64::from(self.slots.usable()) * TRAINING_FLOOR_FRACTION) as u32;
         floor.min(wanted)
     }
 
@@ -160,7 +160,7 @@
 
     /// Slots that serve the queue of this kind.
     fn slots_for(&self, kind: Kind) -> u32 {
-        let open = self.slots.open();
+        let open = self.slots.usable();
         let live = self.reserved(Kind::Short) + self.reserved(Kind::Long);
         let floor = self.training_floor();
         match kind {
@@ -196,7 +196,7 @@
             let chosen = front.and_then(|queued| {
                 let work = &queued.work;
                 match kind {
-                    Kind::Training => self.slots.pick_even(now, work.prefix, &work.avoid),
+                    Kind::Training => self.slots.pick_least_loaded(now, work.prefix, &work.avoid),
                     Kind::Short | Kind::Long => self.slots.pick(now, work.prefix, &work.avoid),
                 }
             });
@@ -218,7 +218,7 @@
     }
 
     fn start_work(&mut self, now: Instant, kind: Kind, upstream: UpstreamKey, work: &Work) {
-        self.slots.take(upstream);
+        self.slots.acquire(upstream);
         self.record_start(now, upstream);
         let running = Running {
             work: work.key,
@@ -257,7 +257,7 @@
             let expected = estimate.tokens(u64::from(running.cost_tokens.max(1)));
             let elapsed = now.duration_since(running.started_at);
             let ratio = elapsed.as_secs_f64() / expected.as_secs_f64().max(1e-6);
-            self.slots.note_overdue(running.upstream, ratio);
+            self.slots.record_overdue_ratio(running.upstream, ratio);
         }
     }
 
@@ -290,13 +290,13 @@
 
 impl Dispatcher for Balanced {
     fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
-        self.slots.set(now, upstreams, fleet);
+        self.slots.set_upstreams(now, upstreams, fleet);
         self.upstreams = upstreams.to_vec();
         if let Some(occupancy) = &mut self.occupancy {
             occupancy.set(upstreams);
         }
         for running in &self.running {
-            self.slots.take_again(running.upstream);
+            self.slots.count_in_flight(running.upstream);
         }
         self.slots.refresh(now, &self.limit);
         self.start_waiting(now);
@@ -304,7 +304,7 @@
 
     fn offer(&mut self, now: Instant, work: Work) {
         let kind = self.kind_of(&work);
-        if !self.slots.any() {
+        if !self.slots.has_active_upstream() {
             return self.refuse(now, kind, work.key, Refusal::NoUpstream);
         }
         self.update_closed_upstreams(now);
@@ -339,12 +339,12 @@
             self.limit.ended(finish.elapsed, patience);
         }
         if let Some(load) = finish.told {
-            self.slots.note_load(now, ended.upstream, load);
+            self.slots.record_load(now, ended.upstream, load);
         }
         if let Some(occupancy) = &mut self.occupancy {
             occupancy.ended(now, ended.upstream, finish);
         }
-        self.slots.give_back(
+        self.slots.release(
             now,
             ended.upstream,
             finish.ending,
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -37,13 +37,13 @@
     /// Slots of this entry.
     share: u32,
     /// Slots of the share that may be used now.
-    open: u32,
+    usable: u32,
     in_flight: u32,
     /// Gets no work, since the upstream likely has no free slot.
     is_closed: bool,
     /// Sum and number of the ratios of elapsed to expected time of running work, since the last
     /// comparison.
-    overdue: (f64, f64),
+    overdue_ratios: (f64, f64),
 }
 
 impl UpstreamSlots {
@@ -51,7 +51,7 @@
         if self.is_closed {
             return 0;
         }
-        self.open.saturating_sub(self.in_flight)
+        self.usable.saturating_sub(self.in_flight)
     }
 }
 
@@ -65,7 +65,7 @@
     part: HeldPart,
     /// Number of all upstreams divided by the number in the subset.
     scale: f64,
-    open: u32,
+    usable: u32,
     free: u32,
     /// Usual speed and load of the upstreams that report them.
     peers: PeerStats,
@@ -76,7 +76,7 @@
 impl Slots {
     /// Slots of upstreams that are not ejected for slowness or failures.
     #[must_use]
-    pub fn keeping_outliers() -> Self {
+    pub fn without_outlier_ejection() -> Self {
         Self {
             never_ejects: true,
             ..Self::default()
@@ -84,8 +84,8 @@
     }
 
     /// Sets the upstreams and the entries that share them. Resets the slots in use; the caller
-    /// counts them again with [`Slots::take_again`].
-    pub fn set(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
+    /// counts them again with [`Slots::count_in_flight`].
+    pub fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
         let chosen = subset(upstreams, fleet.rank, fleet.demands.len());
         self.scale = upstreams.len() as f64 / chosen.len().max(1) as f64;
         let limits = upstreams.iter().map(|state| f64::from(state.limit));
@@ -122,10 +122,10 @@
                     health: health.unwrap_or(new_health),
                     speed,
                     share: 0,
-                    open: 0,
+                    usable: 0,
                     in_flight: 0,
                     is_closed: false,
-                    overdue: (0.0, 0.0),
+                    overdue_ratios: (0.0, 0.0),
                 }
             })
             .collect();
@@ -144,8 +144,8 @@
         (index != NO_INDEX).then_some(index as usize)
     }
 
-    /// Counts a slot in use by work that was started before [`Slots::set`].
-    pub fn take_again(&mut self, key: UpstreamKey) {
+    /// Counts a slot in use by work that was started before [`Slots::set_upstreams`].
+    pub fn count_in_flight(&mut self, key: UpstreamKey) {
         if let Some(index) = self.index_of(key) {
             self.upstreams[index].in_flight += 1;
         }
@@ -170,23 +170,23 @@
                 upstream.share = 1;
             }
         }
-        self.open = 0;
+        self.usable = 0;
         self.free = 0;
         for upstream in &mut self.upstreams {
-            upstream.open = if upstream.state.leaving {
+            upstream.usable = if upstream.state.leaving {
                 0
             } else {
                 upstream.health.usable_slots(now, upstream.share)
             };
-            self.open += upstream.open;
+            self.usable += upstream.usable;
             self.free += upstream.free();
         }
     }
 
     /// Records the ratio of elapsed to expected time of work that runs at this upstream.
-    pub fn note_overdue(&mut self, key: UpstreamKey, ratio: f64) {
+    pub fn record_overdue_ratio(&mut self, key: UpstreamKey, ratio: f64) {
         if let Some(index) = self.index_of(key) {
-            let (sum, count) = &mut self.upstreams[index].overdue;
+            let (sum, count) = &mut self.upstreams[index].overdue_ratios;
             *sum += ratio;
             *count += 1.0;
         }
@@ -205,13 +205,16 @@
                 .iter()
                 .filter_map(|upstream| upstream.speed.as_ref()),
         );
-        let overdue = self.upstreams.iter().map(|upstream| upstream.overdue(now));
-        let median_overdue = median(overdue.collect()).unwrap_or(1.0).max(1.0);
+        let overdue_ratios = self
+            .upstreams
+            .iter()
+            .map(|upstream| upstream.overdue_ratio(now));
+        let median_overdue_ratio = median(overdue_ratios.collect()).unwrap_or(1.0).max(1.0);
         for upstream in &mut self.upstreams {
-            let overdue = upstream.overdue(now) / median_overdue;
-            upstream.health.set_overdue_ratio(overdue.max(1.0));
+            let overdue_ratio = upstream.overdue_ratio(now) / median_overdue_ratio;
+            upstream.health.set_overdue_ratio(overdue_ratio.max(1.0));
             upstream.health.compare(median_speed);
-            upstream.overdue = (0.0, 0.0);
+            upstream.overdue_ratios = (0.0, 0.0);
         }
         let mut ejections_left = self.ejections_left();
         for upstream in &mut self.upstreams {
@@ -245,7 +248,7 @@
     /// compared without it. The prefix only rotates the order in which equal ones are taken;
     /// otherwise all entries would fill the same engines first.
     #[must_use]
-    pub fn pick_even(
+    pub fn pick_least_loaded(
         &self,
         now: Instant,
         prefix: u64,
@@ -279,7 +282,7 @@
                 .map(|speed| speed.load_with_next_call(now, upstream.in_flight, &self.peers));
             let inputs = ScoreInputs {
                 in_flight: upstream.in_flight,
-                slots: upstream.open,
+                slots: upstream.usable,
                 reported_load: load,
                 slowness: upstream.slowness(now, &self.peers),
                 local_zone: upstream.state.local_zone,
@@ -304,8 +307,8 @@
         }
     }
 
-    /// Takes a slot of an upstream that [`Slots::pick`] or [`Slots::pick_even`] returned.
-    pub fn take(&mut self, key: UpstreamKey) {
+    /// Takes a slot of an upstream that [`Slots::pick`] or [`Slots::pick_least_loaded`] returned.
+    pub fn acquire(&mut self, key: UpstreamKey) {
         if let Some(index) = self.index_of(key) {
             let upstream = &mut self.upstreams[index];
             self.free -= upstream.free().min(1);
@@ -317,7 +320,7 @@
     }
 
     /// Records the load that an upstream reported with an answer.
-    pub fn note_load(&mut self, now: Instant, key: UpstreamKey, load: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, key: UpstreamKey, load: ToldLoad) {
         let Some(index) = self.index_of(key) else {
             return;
         };
@@ -329,7 +332,7 @@
     }
 
     /// Releases a slot and records how the work ended.
-    pub fn give_back(
+    pub fn release(
         &mut self,
         now: Instant,
         key: UpstreamKey,
@@ -342,7 +345,7 @@
         };
         let may_eject = self.ejections_left() > 0;
         let upstream = &mut self.upstreams[index];
-        self.open -= upstream.open;
+        self.usable -= upstream.usable;
         self.free -= upstream.free();
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         if let Some(speed) = upstream
@@ -359,12 +362,12 @@
         upstream
             .health
             .record_end(now, ending, cost_tokens, unexplained, may_eject);
-        upstream.open = if upstream.state.leaving {
+        upstream.usable = if upstream.state.leaving {
             0
         } else {
             upstream.health.usable_slots(now, upstream.share)
         };
-        self.open += upstream.open;
+        self.usable += upstream.usable;
         self.free += upstream.free();
     }
 
@@ -382,8 +385,8 @@
 
     /// Slots that may be used now, including those in use.
     #[must_use]
-    pub const fn open(&self) -> u32 {
-        self.open
+    pub const fn usable(&self) -> u32 {
+        self.usable
     }
 
     /// Usable slots that are not in use.
@@ -394,7 +397,7 @@
 
     /// Whether some upstream takes work, now or once its ejection ends.
     #[must_use]
-    pub fn any(&self) -> bool {
+    pub fn has_active_upstream(&self) -> bool {
         self.upstreams
             .iter()
             .any(|upstream| !upstream.state.leaving)
@@ -404,8 +407,8 @@
 impl UpstreamSlots {
     /// Mean ratio of elapsed to expected time of running work, divided by the slowdown that the
     /// upstream reports. Lower with few running requests; 0 without any.
-    fn overdue(&self, now: Instant) -> f64 {
-        let (sum, count) = self.overdue;
+    fn overdue_ratio(&self, now: Instant) -> f64 {
+        let (sum, count) = self.overdue_ratios;
         if count == 0.0 {
             return 0.0;
         }
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -273,7 +273,7 @@
     let mut slots = Slots::default();
     // A node that has just started uses only a part of the slots.
     let now = start + WARM_UP;
-    slots.set(start, &[0, 1, 2].map(upstream_state), &Fleet::ALONE);
+    slots.set_upstreams(start, &[0, 1, 2].map(upstream_state), &Fleet::ALONE);
     slots.refresh(now, &Limit::default());
     for answer in 0..60 {
         let at = now + Duration::from_millis(answer * 40);
@@ -285,10 +285,10 @@
             slots: SLOTS as u32,
             time_percent: time_percent.map(|percent| if is_slow { percent } else { 100 }),
         };
-        slots.take(key);
-        slots.note_load(at, key, load);
+        slots.acquire(key);
+        slots.record_load(at, key, load);
         let elapsed = Duration::from_millis(if is_slow { 80 } else { 20 });
-        slots.give_back(at, key, Ending::Answered, 1, elapsed);
+        slots.release(at, key, Ending::Answered, 1, elapsed);
     }
     slots.compare(now + Duration::from_millis(2_400));
     slots.refresh(now + Duration::from_millis(2_400), &Limit::default());
@@ -300,7 +300,7 @@
 #[test]
 fn only_unexplained_slowness_ejects() {
     let now = Instant::now();
-    let open = |percent| slots_after_answers(now, percent).open();
+    let open = |percent| slots_after_answers(now, percent).usable();
     assert_eq!(open(Some(400)), 18, "explained by its reports");
     assert_eq!(open(Some(100)), 12, "permanently slow");
     assert_eq!(open(None), 12, "no report");
@@ -322,7 +322,7 @@
         ..upstream_state(0)
     };
     let upstreams = [restarted, upstream_state(1), upstream_state(2)];
-    slots.set(later, &upstreams, &Fleet::ALONE);
+    slots.set_upstreams(later, &upstreams, &Fleet::ALONE);
     slots.refresh(later, &Limit::default());
     assert!(is_picked(&slots, 9));
 }
