--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -33,7 +33,7 @@
 
 /// Part of the time until the deadline within which calls should end; the rest is for calls
 /// that fail. Calls that need more slots for that than pacing leaves them use all slots.
-const USABLE_TIME_PART: f64 = 0.6;
+const USABLE_TIME_FRACTION: f64 = 0.6;
 
 /// Part of an upstream's slots that always stays free for callers while there is slack: the
 /// reported load shows a burst of calls only after it has begun.
@@ -195,7 +195,7 @@
         deadlines.sort_unstable();
         let needed = deadlines.iter().enumerate().map(|(before, deadline)| {
             let left = deadline.saturating_duration_since(now);
-            let left_s = left.mul_f64(USABLE_TIME_PART).as_secs_f64();
+            let left_s = left.mul_f64(USABLE_TIME_FRACTION).as_secs_f64();
             (before + 1) as f64 * service_s / left_s.max(f64::MIN_POSITIVE)
         });
         needed.fold(1.0, f64::max).ceil()
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -225,9 +225,9 @@
                     self.ejections = 0;
                     return share;
                 }
-                let elapsed_part = age.as_secs_f64() / SLOW_START.as_secs_f64();
-                let part = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * elapsed_part;
-                (f64::from(share) * part).ceil() as u32
+                let elapsed_fraction = age.as_secs_f64() / SLOW_START.as_secs_f64();
+                let fraction = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * elapsed_fraction;
+                (f64::from(share) * fraction).ceil() as u32
             }
             State::Ejected { until } if until > now => 0,
             State::Ejected { .. } => {
@@ -240,7 +240,7 @@
 }
 
 /// Part of the upstreams that may be ejected at the same time for slowness or failures.
-const MAX_EJECTED_PART: f64 = 0.3;
+const MAX_EJECTED_FRACTION: f64 = 0.3;
 
 /// How many upstreams may be ejected at the same time for slowness or failures: none of fewer
 /// than three, at least one of three or more.
@@ -249,5 +249,5 @@
     if upstreams < 3 {
         return 0;
     }
-    ((upstreams as f64 * MAX_EJECTED_PART) as usize).max(1)
+    ((upstreams as f64 * MAX_EJECTED_FRACTION) as usize).max(1)
 }
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -54,7 +54,7 @@
 const MEAN_WEIGHT: f64 = 0.1;
 
 /// The upstreams count as congested while the sum of limits is below this part of all slots.
-const CONGESTED_PART: f64 = 0.25;
+const CONGESTED_FRACTION: f64 = 0.25;
 
 /// Range of the random factor on pauses.
 const MIN_JITTER: f64 = 0.5;
@@ -221,7 +221,7 @@
             .upstreams
             .iter()
             .map(|upstream| f64::from(upstream.slots));
-        limits < slots.sum::<f64>() * CONGESTED_PART
+        limits < slots.sum::<f64>() * CONGESTED_FRACTION
     }
 
     fn index_of(&self, key: UpstreamKey) -> Option<usize> {
@@ -236,8 +236,8 @@
 
     fn jitter(&mut self) -> f64 {
         self.random = splitmix64(self.random);
-        let part = self.random as f64 / u64::MAX as f64;
-        MIN_JITTER + (MAX_JITTER - MIN_JITTER) * part
+        let fraction = self.random as f64 / u64::MAX as f64;
+        MIN_JITTER + (MAX_JITTER - MIN_JITTER) * fraction
     }
 }
 
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -13,7 +13,7 @@
 
 /// Part of an engine's slots that a step is to fill: half-full engines lose no speed, and have
 /// free slots for the samples of an engine that is lost.
-const FILLED_PART: f64 = 0.5;
+const FILLED_FRACTION: f64 = 0.5;
 
 /// Engines searched for each engine that is needed: enough remain after the loss of one of two
 /// availability zones, or a rolling update that takes out every second engine.
@@ -23,7 +23,7 @@
 /// engine.
 #[must_use]
 pub fn engines_needed(samples: u32, slots: u32) -> usize {
-    let filled_slots = (f64::from(slots) * FILLED_PART).max(1.0);
+    let filled_slots = (f64::from(slots) * FILLED_FRACTION).max(1.0);
     (f64::from(samples) / filled_slots).ceil() as usize
 }
 
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -19,8 +19,8 @@
 const HEADROOM_FACTOR: f64 = 1.25;
 const HEADROOM_SLOTS: f64 = 4.0;
 
-/// Part of its first computed share that a new entry starts with.
-const INITIAL_PART: f64 = 0.25;
+/// Fraction of its first computed share that a new entry starts with.
+const INITIAL_FRACTION: f64 = 0.25;
 
 /// Delay until an increased share is used. By then the entries whose shares shrink have learnt
 /// of it (two reports, half a second apart, and a few hops of exchange) and use their smaller
@@ -57,16 +57,16 @@
 
 /// Share of one entry, as a range of the interval from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct ShareRange {
     start: f64,
     end: f64,
 }
 
-impl Part {
+impl ShareRange {
     /// Share of the entry at `fleet.rank`, where all entries together may have `capacity` requests
     /// in flight.
     #[must_use]
-    pub fn of(fleet: &Fleet<'_>, capacity: f64) -> Self {
+    pub fn of_entry(fleet: &Fleet<'_>, capacity: f64) -> Self {
         let live = fleet.demands.len().max(1) as f64;
         let known = fleet.known as f64;
         if live < known * PARTITIONED_BELOW {
@@ -114,37 +114,37 @@
 
 /// Share in use: a decrease applies immediately, an increase after [`RAISE_DELAY`].
 #[derive(Debug, Default)]
-pub struct HeldPart {
+pub struct EffectiveShare {
     /// Shares computed within [`RAISE_DELAY`] and the last one before, oldest first.
-    computed: Vec<(Instant, Part)>,
+    computed: Vec<(Instant, ShareRange)>,
 }
 
-impl HeldPart {
+impl EffectiveShare {
     /// Computes the share for the fleet as known now. `capacity` is the sum of the upstreams'
     /// limits.
     pub fn set(&mut self, now: Instant, fleet: &Fleet<'_>, capacity: f64) {
-        let part = Part::of(fleet, capacity);
+        let share = ShareRange::of_entry(fleet, capacity);
         if self.computed.is_empty() {
             // The other entries divide the whole limit among themselves until they know of this
             // one.
-            let start = part.start;
-            let end = start + part.width() * INITIAL_PART;
-            self.computed.push((now, Part { start, end }));
+            let start = share.start;
+            let end = start + share.width() * INITIAL_FRACTION;
+            self.computed.push((now, ShareRange { start, end }));
         }
-        self.computed.push((now, part));
+        self.computed.push((now, share));
     }
 
     /// Share in use at this time.
-    pub fn get(&mut self, now: Instant) -> Part {
+    pub fn get(&mut self, now: Instant) -> ShareRange {
         while self.computed.len() > 1 && self.computed[1].0 + RAISE_DELAY <= now {
             self.computed.remove(0);
         }
         let narrowest = self
             .computed
             .iter()
-            .map(|(_, part)| *part)
+            .map(|(_, share)| *share)
             .min_by(|left, right| left.width().total_cmp(&right.width()));
-        narrowest.unwrap_or(Part {
+        narrowest.unwrap_or(ShareRange {
             start: 0.0,
             end: 1.0,
         })
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -12,7 +12,7 @@
 use crate::route::ScoreInputs;
 use crate::route::splitmix64;
 use crate::route::subset;
-use crate::share::HeldPart;
+use crate::share::EffectiveShare;
 use crate::speed::CallSpeed;
 use crate::speed::PeerStats;
 use crate::work::Ending;
@@ -62,7 +62,7 @@
     /// Indexes into `upstreams`, by upstream key.
     index_by_key: Vec<u32>,
     ring: Ring,
-    part: HeldPart,
+    entry_share: EffectiveShare,
     /// Number of all upstreams divided by the number in the subset.
     scale: f64,
     usable: u32,
@@ -89,7 +89,8 @@
         let chosen = subset(upstreams, fleet.rank, fleet.demands.len());
         self.scale = upstreams.len() as f64 / chosen.len().max(1) as f64;
         let limits = upstreams.iter().map(|state| f64::from(state.limit));
-        self.part.set(now, fleet, limits.sum::<f64>().max(1.0));
+        self.entry_share
+            .set(now, fleet, limits.sum::<f64>().max(1.0));
         let is_unchanged = chosen.len() == self.upstreams.len()
             && chosen
                 .iter()
@@ -153,11 +154,11 @@
 
     /// Updates how many slots may be used now.
     pub fn refresh(&mut self, now: Instant, limit: &Limit) {
-        let part = self.part.get(now);
+        let entry_range = self.entry_share.get(now);
         for upstream in &mut self.upstreams {
             let limit_of_all = limit.of(f64::from(upstream.state.limit)) * self.scale;
             let offset = splitmix64(upstream.state.hash) as f64 / u64::MAX as f64;
-            upstream.share = part.slots(limit_of_all, offset);
+            upstream.share = entry_range.slots(limit_of_all, offset);
         }
         if self.upstreams.iter().all(|upstream| upstream.share == 0) {
             // The limit is smaller than the number of entries. An entry without any slot
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -7,8 +7,8 @@
 use firweir_policy::route::SUBSET_SIZE;
 use firweir_policy::route::splitmix64;
 use firweir_policy::route::subset;
-use firweir_policy::share::HeldPart;
-use firweir_policy::share::Part;
+use firweir_policy::share::EffectiveShare;
+use firweir_policy::share::ShareRange;
 use firweir_policy::work::Ending;
 use firweir_policy::work::Fleet;
 use firweir_policy::work::UpstreamKey;
@@ -62,7 +62,7 @@
                     rank,
                     known: case.demands.len(),
                 };
-                Part::of(&fleet, capacity).slots(case.limit, offset)
+                ShareRange::of_entry(&fleet, capacity).slots(case.limit, offset)
             };
             let sum: u32 = (0..case.demands.len()).map(slots).sum();
             assert_eq!(sum, case.limit as u32, "{}", case.name);
@@ -78,7 +78,7 @@
         rank: 2,
         known: 7,
     };
-    assert!(Part::of(&fleet, 384.0).width() > 0.8);
+    assert!(ShareRange::of_entry(&fleet, 384.0).width() > 0.8);
 }
 
 /// Guards against overload by an entry that is partitioned from its peers and takes them for
@@ -90,7 +90,7 @@
         rank: 0,
         known: 9,
     };
-    assert!(Part::of(&alone, 384.0).width() <= 1.0 / 9.0 + 1e-9);
+    assert!(ShareRange::of_entry(&alone, 384.0).width() <= 1.0 / 9.0 + 1e-9);
 }
 
 /// Guards against using a larger share before the other entry has reduced its own: demand moves
@@ -99,8 +99,8 @@
 fn a_larger_part_waits_until_the_others_have_learnt_of_it() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut rising = HeldPart::default();
-    let mut falling = HeldPart::default();
+    let mut rising = EffectiveShare::default();
+    let mut falling = EffectiveShare::default();
     let view = |demands, rank| Fleet {
         demands,
         rank,
