--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_policy::periodic_work::pause_after;
 use firweir_policy::placement::Draft;
 use firweir_policy::placement::DraftEnding;
 use firweir_policy::placement::DraftKey;
@@ -17,7 +18,6 @@
 use firweir_policy::placement::Move;
 use firweir_policy::placement::MoveReason;
 use firweir_policy::pool::engines_needed;
-use firweir_policy::recurring::pause_after;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 use tokio::sync::Notify;
--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -17,10 +17,10 @@
 
 use crate::dispatch::Decision;
 use crate::dispatch::Dispatcher;
-use crate::estimate::Estimate;
 use crate::health::Health;
 use crate::health::ejections_allowed;
 use crate::route::ScoreInputs;
+use crate::service_time::Estimate;
 use crate::work::Ending;
 use crate::work::Finish;
 use crate::work::Fleet;
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -11,10 +11,10 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
+use crate::aimd_limit::Limit;
 use crate::lane::KINDS;
 use crate::lane::Kind;
 use crate::lane::Lane;
-use crate::limit::Limit;
 use crate::occupancy::Occupancy;
 use crate::slots::Slots;
 use crate::work::Class;
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -4,11 +4,11 @@
 use std::time::Instant;
 
 use super::Balanced;
-use crate::bands::Place;
 use crate::lane::KINDS;
 use crate::lane::Kind;
 use crate::lane::Serving;
 use crate::occupancy::Occupancy;
+use crate::priority_queue::Place;
 use crate::work::Refusal;
 use crate::work::UpstreamKey;
 use crate::work::Work;
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::bands::Bands;
-use crate::bands::Place;
-use crate::estimate::Estimate;
+use crate::priority_queue::Bands;
+use crate::priority_queue::Place;
 use crate::reserve::Reserve;
+use crate::service_time::Estimate;
 use crate::work::Refusal;
 use crate::work::Work;
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,23 +5,22 @@
 //! that receives requests) passes in the time and events and carries out the returned
 //! decisions, so that every decision can be tested without a network.
 
-pub mod answering;
+pub mod aimd_limit;
 pub mod background;
-pub mod bands;
 pub mod dispatch;
 pub mod dispatcher;
-pub mod estimate;
-pub mod fair;
+pub mod fair_queue;
 pub mod health;
 pub mod lane;
-pub mod limit;
 pub mod listing;
 pub mod load_limit;
+pub mod long_poll;
 pub mod occupancy;
 pub mod pace;
+pub mod periodic_work;
 pub mod placement;
 pub mod pool;
-pub mod recurring;
+pub mod priority_queue;
 pub mod relist;
 pub mod reserve;
 pub mod retry;
@@ -29,6 +28,7 @@
 pub mod scaling;
 pub mod scaling_repeats;
 pub mod scaling_targets;
+pub mod service_time;
 pub mod share;
 pub mod siting;
 pub mod slack;
--- a/crates/policy/src/bands.rs
+++ b/crates/policy/src/priority_queue.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::fair::FairQueue;
-use crate::fair::Queued;
-use crate::fair::Tag;
+use crate::fair_queue::FairQueue;
+use crate::fair_queue::Queued;
+use crate::fair_queue::Tag;
 use crate::work::Work;
 use crate::work::WorkKey;
 
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -5,9 +5,9 @@
 
 use std::time::Instant;
 
+use crate::aimd_limit::Limit;
 use crate::health::Health;
 use crate::health::ejections_allowed;
-use crate::limit::Limit;
 use crate::route::Ring;
 use crate::route::ScoreInputs;
 use crate::route::splitmix64;
--- a/crates/policy/tests/answering.rs
+++ b/crates/policy/tests/long_poll.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firweir_policy::answering::Asked;
+use firweir_policy::long_poll::Asked;
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/policy/tests/recurring.rs
+++ b/crates/policy/tests/periodic_work.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firweir_policy::recurring::pause_after;
+use firweir_policy::periodic_work::pause_after;
 
 struct Case {
     name: &'static str,
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_policy::aimd_limit::Limit;
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::limit::Limit;
 use firweir_policy::route::splitmix64;
 use firweir_policy::slots::Slots;
 use firweir_policy::speed::CallSpeed;
