--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -266,15 +266,15 @@
             self.lane_mut(kind).note_patience(now, &mut work);
         }
         let serving = self.serving(kind);
-        self.lane_mut(kind).queue.note_offered(now, &work);
-        let place = match self.admit(now, kind, &work, serving) {
-            Ok(place) => place,
+        self.lane_mut(kind).queue.record_offer(now, &work);
+        let position = match self.admit(now, kind, &work, serving) {
+            Ok(position) => position,
             Err(reason) => return self.refuse(now, kind, work.key, reason),
         };
         if self.lane(kind).is_full(serving) {
             // Sheds the work that would be served last, by priority and then by fair share. It
             // may be the new work.
-            match self.lane_mut(kind).queue.pop_behind(place) {
+            match self.lane_mut(kind).queue.pop_behind(position) {
                 Some(last) if last.priority > work.priority => {
                     self.refuse(now, kind, last.key, Refusal::LowPriority);
                 }
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -8,7 +8,7 @@
 use crate::lane::Kind;
 use crate::lane::Serving;
 use crate::occupancy::Occupancy;
-use crate::priority_queue::Place;
+use crate::priority_queue::QueuePosition;
 use crate::work::Refusal;
 use crate::work::UpstreamKey;
 use crate::work::Work;
@@ -56,7 +56,7 @@
         kind: Kind,
         work: &Work,
         serving: Serving,
-    ) -> Result<Place, Refusal> {
+    ) -> Result<QueuePosition, Refusal> {
         let lane = self.lane(kind);
         match &self.occupancy {
             Some(occupancy) => {
@@ -71,7 +71,7 @@
     pub(super) fn refuse_late(&mut self, now: Instant) {
         for kind in KINDS {
             let opens_in = self.opens_in(now, kind);
-            for work in self.lane_mut(kind).take_late(now, opens_in) {
+            for work in self.lane_mut(kind).remove_late(now, opens_in) {
                 self.refuse(now, kind, work.key, Refusal::Late);
             }
             self.refuse_overlong_waits(now, kind);
@@ -81,7 +81,7 @@
     /// Refuses work that has waited too long while the upstreams are congested.
     pub(super) fn refuse_overlong_waits(&mut self, now: Instant, kind: Kind) {
         if self.occupancy.as_ref().is_some_and(Occupancy::is_congested) {
-            for work in self.lane_mut(kind).take_held(now) {
+            for work in self.lane_mut(kind).remove_overlong_waits(now) {
                 self.refuse(now, kind, work.key, Refusal::Saturated);
             }
         }
--- a/crates/policy/src/fair_queue.rs
+++ b/crates/policy/src/fair_queue.rs
@@ -17,9 +17,9 @@
 
 /// Virtual start time of work, in tokens. It orders the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Tag(u64);
+pub struct StartTag(u64);
 
-impl Tag {
+impl StartTag {
     /// Behind all work.
     pub const LAST: Self = Self(u64::MAX);
 }
@@ -44,7 +44,7 @@
 /// Waiting work, in the order in which it is served.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    queued: BTreeMap<(Tag, WorkKey), Queued>,
+    queued: BTreeMap<(StartTag, WorkKey), Queued>,
     /// Sorted by hash.
     callers: Vec<Caller>,
     callers_with_work: u64,
@@ -55,17 +55,17 @@
 impl FairQueue {
     /// Start tag that work of this caller would get now.
     #[must_use]
-    pub fn tag_of(&self, caller: u64) -> Tag {
+    pub fn start_tag(&self, caller: u64) -> StartTag {
         let virtual_end = self
             .caller_index(caller)
             .ok()
             .map(|at| self.callers[at].virtual_end);
-        Tag(self.virtual_now.max(virtual_end.unwrap_or(0)))
+        StartTag(self.virtual_now.max(virtual_end.unwrap_or(0)))
     }
 
     /// Tokens of work that would be served before work with this tag.
     #[must_use]
-    pub fn ahead_tokens(&self, tag: Tag) -> u64 {
+    pub fn tokens_ahead(&self, tag: StartTag) -> u64 {
         // Until virtual time reaches the tag, each caller with queued work is served as many
         // tokens as virtual time advances.
         let advance = tag.0 - self.virtual_now.min(tag.0);
@@ -77,7 +77,7 @@
 
     /// Queues work with the start tag of its caller.
     pub fn push(&mut self, now: Instant, work: Work) {
-        let tag = self.tag_of(work.caller);
+        let tag = self.start_tag(work.caller);
         let cost = cost_of(&work);
         let at = self.caller_index(work.caller).unwrap_or_else(|at| {
             let caller = Caller {
@@ -112,7 +112,7 @@
     }
 
     /// Removes the work that would be served last, if it is behind `tag`.
-    pub fn pop_behind(&mut self, tag: Tag) -> Option<Work> {
+    pub fn pop_behind(&mut self, tag: StartTag) -> Option<Work> {
         let last = self.queued.last_entry()?;
         if last.key().0 <= tag {
             return None;
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Removes all work for which `is_late` is true.
-    pub fn take_late(&mut self, is_late: impl Fn(&Queued) -> bool) -> Vec<Work> {
-        let keys: Vec<(Tag, WorkKey)> = self
+    /// Removes all work for which `predicate` is true.
+    pub fn extract_if(&mut self, predicate: impl Fn(&Queued) -> bool) -> Vec<Work> {
+        let keys: Vec<(StartTag, WorkKey)> = self
             .queued
             .iter()
-            .filter(|(_, queued)| is_late(queued))
+            .filter(|(_, queued)| predicate(queued))
             .map(|(queue_key, _)| *queue_key)
             .collect();
         let mut taken = Vec::with_capacity(keys.len());
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::priority_queue::Bands;
-use crate::priority_queue::Place;
+use crate::priority_queue::PriorityQueue;
+use crate::priority_queue::QueuePosition;
 use crate::reserve::Reserve;
 use crate::service_time::Estimate;
 use crate::work::Refusal;
@@ -130,7 +130,7 @@
 pub struct Lane {
     kind: Kind,
     /// Waiting work.
-    pub queue: Bands,
+    pub queue: PriorityQueue,
     /// Expected service time.
     pub estimate: Estimate,
     /// Slots to reserve for this kind.
@@ -149,7 +149,7 @@
     pub fn new(kind: Kind) -> Self {
         Self {
             kind,
-            queue: Bands::default(),
+            queue: PriorityQueue::default(),
             estimate: Estimate::default(),
             reserve: Reserve::default(),
             in_flight: 0,
@@ -164,8 +164,13 @@
     /// # Errors
     ///
     /// It cannot end in time, or more work waits than can be served.
-    pub fn admit(&self, now: Instant, work: &Work, serving: Serving) -> Result<Place, Refusal> {
-        let place = self.queue.place_of(work);
+    pub fn admit(
+        &self,
+        now: Instant,
+        work: &Work,
+        serving: Serving,
+    ) -> Result<QueuePosition, Refusal> {
+        let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
         let needed = self.estimate.service(work).mul_f64(self.time_factor());
         let trusted = self.estimate.is_trusted();
@@ -173,9 +178,9 @@
             return Err(Refusal::Late);
         }
         if self.queue.is_empty() || !trusted {
-            return Ok(place);
+            return Ok(position);
         }
-        let wait = serving.wait(self.estimate.tokens(self.queue.ahead_tokens(place)));
+        let wait = serving.wait(self.estimate.tokens(self.queue.tokens_ahead(position)));
         if wait + needed > left {
             return Err(Refusal::Late);
         }
@@ -183,7 +188,7 @@
         {
             return Err(Refusal::Saturated);
         }
-        Ok(place)
+        Ok(position)
     }
 
     /// Returns the position of the work in the queue if it may wait there for upstreams that
@@ -194,29 +199,34 @@
     /// It cannot end in time, or it would wait too long in a standing queue. If the upstreams
     /// are congested: a higher priority goes first, its caller has had more than its share, or
     /// it would wait too long.
-    pub fn admit_shared(&self, now: Instant, work: &Work, room: Room) -> Result<Place, Refusal> {
-        let place = self.queue.place_of(work);
+    pub fn admit_shared(
+        &self,
+        now: Instant,
+        work: &Work,
+        room: Room,
+    ) -> Result<QueuePosition, Refusal> {
+        let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
         let needed = self.estimate.service(work).mul_f64(self.time_factor());
-        let ahead = self.estimate.tokens(self.queue.ahead_tokens(place));
+        let ahead = self.estimate.tokens(self.queue.tokens_ahead(position));
         let wait = room.opens_in + room.serving.wait(ahead);
         if left.is_zero() || wait + needed > left {
             return Err(Refusal::Late);
         }
         if !self.estimate.is_trusted() {
-            return Ok(place);
+            return Ok(position);
         }
-        if room.is_congested && self.queue.gives_way(work.priority, room.is_free) {
+        if room.is_congested && self.queue.must_yield(work.priority, room.is_free) {
             return Err(Refusal::LowPriority);
         }
-        if room.is_congested && self.queue.is_ahead(work, room.is_free) {
+        if room.is_congested && self.queue.is_over_fair_share(work, room.is_free) {
             return Err(Refusal::Saturated);
         }
         let is_long = wait > self.longest_wait(work, CONGESTED_ADMIT_CALL_TIMES);
         if (room.is_congested || self.is_standing(now)) && is_long {
             return Err(Refusal::Saturated);
         }
-        Ok(place)
+        Ok(position)
     }
 
     /// Reduces the work's latency objective by the time that earlier attempts of its client
@@ -238,7 +248,7 @@
     /// For shared upstreams, `opens_in` (the time until any work may start) is added.
     #[must_use]
     pub fn retry_after(&self, serving: Serving, opens_in: Duration) -> Duration {
-        let queued_tokens = self.queue.ahead_tokens(Place::LAST);
+        let queued_tokens = self.queue.tokens_ahead(QueuePosition::LAST);
         if serving.is_shared() {
             // Another call can start once the queue has drained and one more slot is free.
             let free = serving.wait(self.estimate.tokens(queued_tokens.saturating_add(1)));
@@ -250,22 +260,22 @@
 
     /// Removes work that can no longer end in time, given that none starts before `opens_in`
     /// has passed.
-    pub fn take_late(&mut self, now: Instant, opens_in: Duration) -> Vec<Work> {
+    pub fn remove_late(&mut self, now: Instant, opens_in: Duration) -> Vec<Work> {
         let estimate = self.estimate;
         let time_factor = self.time_factor();
-        self.queue.take_late(|queued| {
+        self.queue.extract_if(|queued| {
             let needed = estimate.service(&queued.work).mul_f64(time_factor);
             queued.work.deadline < now + opens_in + needed
         })
     }
 
     /// Removes work that has waited too long; for use while shared upstreams are congested.
-    pub fn take_held(&mut self, now: Instant) -> Vec<Work> {
+    pub fn remove_overlong_waits(&mut self, now: Instant) -> Vec<Work> {
         if !self.estimate.is_trusted() {
             return Vec::new();
         }
         let estimate = self.estimate;
-        self.queue.take_late(|queued| {
+        self.queue.extract_if(|queued| {
             let max_wait = longest_wait(&estimate, &queued.work, CONGESTED_QUEUE_CALL_TIMES);
             queued.since + max_wait < now
         })
--- a/crates/policy/src/priority_queue.rs
+++ b/crates/policy/src/priority_queue.rs
@@ -10,7 +10,7 @@
 
 use crate::fair_queue::FairQueue;
 use crate::fair_queue::Queued;
-use crate::fair_queue::Tag;
+use crate::fair_queue::StartTag;
 use crate::work::Work;
 use crate::work::WorkKey;
 
@@ -34,16 +34,16 @@
 /// Position of work in the queue: its priority, and its start tag within that priority. Lower
 /// values are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     priority: u32,
-    tag: Tag,
+    tag: StartTag,
 }
 
-impl Place {
+impl QueuePosition {
     /// Behind all work.
     pub const LAST: Self = Self {
         priority: u32::MAX,
-        tag: Tag::LAST,
+        tag: StartTag::LAST,
     };
 }
 
@@ -69,20 +69,20 @@
 
 /// Waiting work, by priority.
 #[derive(Debug, Default)]
-pub struct Bands {
+pub struct PriorityQueue {
     /// Sorted by priority, the highest (lowest number) first.
     levels: Vec<PriorityLevel>,
 }
 
-impl Bands {
+impl PriorityQueue {
     /// Position that this work would get now.
     #[must_use]
-    pub fn place_of(&self, work: &Work) -> Place {
+    pub fn position_of(&self, work: &Work) -> QueuePosition {
         let tag = match self.level_index(work.priority) {
-            Ok(at) => self.levels[at].queue.tag_of(work.caller),
-            Err(_) => FairQueue::default().tag_of(work.caller),
+            Ok(at) => self.levels[at].queue.start_tag(work.caller),
+            Err(_) => FairQueue::default().start_tag(work.caller),
         };
-        Place {
+        QueuePosition {
             priority: work.priority,
             tag,
         }
@@ -90,24 +90,24 @@
 
     /// Tokens of work that would be served before work at this position.
     #[must_use]
-    pub fn ahead_tokens(&self, place: Place) -> u64 {
+    pub fn tokens_ahead(&self, position: QueuePosition) -> u64 {
         let before = self
             .levels
             .iter()
-            .take_while(|level| level.priority < place.priority);
+            .take_while(|level| level.priority < position.priority);
         let higher: u64 = before
-            .map(|level| level.queue.ahead_tokens(Tag::LAST))
+            .map(|level| level.queue.tokens_ahead(StartTag::LAST))
             .sum();
         let own = self
-            .level_index(place.priority)
+            .level_index(position.priority)
             .map(|at| &self.levels[at].queue);
-        higher + own.map_or(0, |queue| queue.ahead_tokens(place.tag))
+        higher + own.map_or(0, |queue| queue.tokens_ahead(position.tag))
     }
 
     /// Whether work of this priority must yield: a higher priority has waiting work, or has had
     /// work recently while no slot is free, and this priority has less than one start of credit.
     #[must_use]
-    pub fn gives_way(&self, priority: u32, has_free_slot: bool) -> bool {
+    pub fn must_yield(&self, priority: u32, has_free_slot: bool) -> bool {
         let mut higher = self
             .levels
             .iter()
@@ -122,7 +122,7 @@
     /// Whether the caller of this work has had more than its fair share of the starts of its
     /// priority; always false while nothing waits and a slot is free.
     #[must_use]
-    pub fn is_ahead(&self, work: &Work, has_free_slot: bool) -> bool {
+    pub fn is_over_fair_share(&self, work: &Work, has_free_slot: bool) -> bool {
         if has_free_slot && self.is_empty() {
             return false;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Records that a caller offered work, whether or not the work is admitted.
-    pub fn note_offered(&mut self, now: Instant, work: &Work) {
+    pub fn record_offer(&mut self, now: Instant, work: &Work) {
         let at = self.ensure_level(work.priority);
         let level = &mut self.levels[at];
         match level.caller_index(work.caller) {
@@ -182,16 +182,16 @@
     }
 
     /// Removes the work that would be served last, if it is behind this position.
-    pub fn pop_behind(&mut self, place: Place) -> Option<Work> {
+    pub fn pop_behind(&mut self, position: QueuePosition) -> Option<Work> {
         let filled = |level: &&mut PriorityLevel| !level.queue.is_empty();
         let last = self.levels.iter_mut().rev().find(filled)?;
-        if last.priority > place.priority {
+        if last.priority > position.priority {
             return last.queue.pop_last();
         }
-        if last.priority < place.priority {
+        if last.priority < position.priority {
             return None;
         }
-        last.queue.pop_behind(place.tag)
+        last.queue.pop_behind(position.tag)
     }
 
     /// Removes work that was cancelled.
@@ -201,11 +201,11 @@
         }
     }
 
-    /// Removes all work for which `is_late` is true.
-    pub fn take_late(&mut self, is_late: impl Fn(&Queued) -> bool) -> Vec<Work> {
+    /// Removes all work for which `predicate` is true.
+    pub fn extract_if(&mut self, predicate: impl Fn(&Queued) -> bool) -> Vec<Work> {
         let levels = self.levels.iter_mut();
         levels
-            .flat_map(|level| level.queue.take_late(&is_late))
+            .flat_map(|level| level.queue.extract_if(&predicate))
             .collect()
     }
 
