--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -13,8 +13,8 @@
 
 use crate::aimd_limit::Limit;
 use crate::lane::KINDS;
-use crate::lane::Kind;
 use crate::lane::Lane;
+use crate::lane::LaneKind;
 use crate::occupancy::Occupancy;
 use crate::slots::Slots;
 use crate::work::Class;
@@ -44,7 +44,7 @@
 struct Running {
     work: WorkKey,
     upstream: UpstreamKey,
-    kind: Kind,
+    kind: LaneKind,
     cost_tokens: u32,
     started_at: Instant,
     deadline: Instant,
@@ -98,75 +98,79 @@
         }
     }
 
-    const fn lane(&self, kind: Kind) -> &Lane {
+    const fn lane(&self, kind: LaneKind) -> &Lane {
         &self.lanes[kind as usize]
     }
 
-    const fn lane_mut(&mut self, kind: Kind) -> &mut Lane {
+    const fn lane_mut(&mut self, kind: LaneKind) -> &mut Lane {
         &mut self.lanes[kind as usize]
     }
 
-    fn kind_of(&mut self, work: &Work) -> Kind {
+    fn kind_of(&mut self, work: &Work) -> LaneKind {
         if work.class == Class::Training {
-            return Kind::Training;
+            return LaneKind::Training;
         }
         let cost_log2 = f64::from(work.cost_tokens.max(1)).log2();
         let usual = self.usual_cost_log2.get_or_insert(cost_log2);
         let long = cost_log2 >= *usual + LONG_CALL_DOUBLINGS;
         *usual += (cost_log2 - *usual) * USUAL_COST_SMOOTHING;
-        if long { Kind::Long } else { Kind::Short }
+        if long {
+            LaneKind::Long
+        } else {
+            LaneKind::Short
+        }
     }
 
     /// Slots reserved for training while there is training work.
     fn training_floor(&self) -> u32 {
-        let wanted = self.lane(Kind::Training).reserve.mean().ceil() as u32;
+        let wanted = self.lane(LaneKind::Training).reserve.mean().ceil() as u32;
         let floor = (f64::from(self.slots.usable()) * TRAINING_FLOOR_FRACTION) as u32;
         floor.min(wanted)
     }
 
     /// Expected time until training frees a slot, in mean service times of this kind.
-    fn wait_for_training(&self, kind: Kind) -> f64 {
-        let training = self.lane(Kind::Training);
+    fn wait_for_training(&self, kind: LaneKind) -> f64 {
+        let training = self.lane(LaneKind::Training);
         let live = self.lane(kind).estimate.mean().as_secs_f64();
         let next = training.estimate.mean().as_secs_f64() / f64::from(training.in_flight.max(1));
         if live > 0.0 { next / live } else { 1.0 }
     }
 
     /// Slots reserved for live work of this kind, including those that it uses.
-    fn reserved(&self, kind: Kind) -> u32 {
+    fn reserved(&self, kind: LaneKind) -> u32 {
         let wait = self.wait_for_training(kind);
         self.lane(kind).reserve.slots(wait)
     }
 
     /// Free slots that this kind may not use, since they are reserved for the others.
-    fn reserved_for_others(&self, kind: Kind) -> u32 {
-        let unused = |kind: Kind| {
+    fn reserved_for_others(&self, kind: LaneKind) -> u32 {
+        let unused = |kind: LaneKind| {
             self.reserved(kind)
                 .saturating_sub(self.lane(kind).in_flight)
         };
-        let training = self.lane(Kind::Training).in_flight;
+        let training = self.lane(LaneKind::Training).in_flight;
         let floor = self.training_floor();
         match kind {
-            Kind::Short => floor.saturating_sub(training),
-            Kind::Long => unused(Kind::Short) + floor.saturating_sub(training),
-            Kind::Training if training < floor => 0,
-            Kind::Training => unused(Kind::Short) + unused(Kind::Long),
+            LaneKind::Short => floor.saturating_sub(training),
+            LaneKind::Long => unused(LaneKind::Short) + floor.saturating_sub(training),
+            LaneKind::Training if training < floor => 0,
+            LaneKind::Training => unused(LaneKind::Short) + unused(LaneKind::Long),
         }
     }
 
-    fn has_room(&self, kind: Kind) -> bool {
+    fn has_room(&self, kind: LaneKind) -> bool {
         self.slots.free() > self.reserved_for_others(kind)
     }
 
     /// Slots that serve the queue of this kind.
-    fn slots_for(&self, kind: Kind) -> u32 {
+    fn slots_for(&self, kind: LaneKind) -> u32 {
         let open = self.slots.usable();
-        let live = self.reserved(Kind::Short) + self.reserved(Kind::Long);
+        let live = self.reserved(LaneKind::Short) + self.reserved(LaneKind::Long);
         let floor = self.training_floor();
         match kind {
-            Kind::Short => open.saturating_sub(floor),
-            Kind::Long => open.saturating_sub(floor + self.reserved(Kind::Short)),
-            Kind::Training => open.saturating_sub(live).max(floor),
+            LaneKind::Short => open.saturating_sub(floor),
+            LaneKind::Long => open.saturating_sub(floor + self.reserved(LaneKind::Short)),
+            LaneKind::Training => open.saturating_sub(live).max(floor),
         }
         .max(1)
     }
@@ -175,17 +179,17 @@
     ///
     /// Of short and long live work, the earlier deadline goes first. Training gets what live
     /// work leaves.
-    fn next_kind(&self, blocked: &[Kind]) -> Option<Kind> {
-        let ready = |kind: &Kind| {
+    fn next_kind(&self, blocked: &[LaneKind]) -> Option<LaneKind> {
+        let ready = |kind: &LaneKind| {
             !blocked.contains(kind) && !self.lane(*kind).queue.is_empty() && self.has_room(*kind)
         };
-        let deadline = |kind: &Kind| {
+        let deadline = |kind: &LaneKind| {
             let front = self.lane(*kind).queue.front();
             front.map(|queued| queued.work.deadline)
         };
-        let live = [Kind::Short, Kind::Long].into_iter().filter(ready);
+        let live = [LaneKind::Short, LaneKind::Long].into_iter().filter(ready);
         live.min_by_key(deadline)
-            .or_else(|| Some(Kind::Training).filter(ready))
+            .or_else(|| Some(LaneKind::Training).filter(ready))
     }
 
     fn start_waiting(&mut self, now: Instant) {
@@ -196,8 +200,13 @@
             let chosen = front.and_then(|queued| {
                 let work = &queued.work;
                 match kind {
-                    Kind::Training => self.slots.pick_least_loaded(now, work.prefix, &work.avoid),
-                    Kind::Short | Kind::Long => self.slots.pick(now, work.prefix, &work.avoid),
+                    LaneKind::Training => {
+                        self.slots
+                            .pick_least_loaded(now, work.prefix, &work.avoid)
+                    }
+                    LaneKind::Short | LaneKind::Long => {
+                        self.slots.pick(now, work.prefix, &work.avoid)
+                    }
                 }
             });
             match chosen {
@@ -207,17 +216,17 @@
         }
     }
 
-    fn start(&mut self, now: Instant, kind: Kind, upstream: UpstreamKey) {
+    fn start(&mut self, now: Instant, kind: LaneKind, upstream: UpstreamKey) {
         let lane = self.lane_mut(kind);
         let Some(queued) = lane.queue.pop() else {
             return;
         };
         lane.in_flight += 1;
-        lane.note_emptiness(now);
+        lane.update_waiting_since(now);
         self.start_work(now, kind, upstream, &queued.work);
     }
 
-    fn start_work(&mut self, now: Instant, kind: Kind, upstream: UpstreamKey, work: &Work) {
+    fn start_work(&mut self, now: Instant, kind: LaneKind, upstream: UpstreamKey, work: &Work) {
         self.slots.acquire(upstream);
         self.record_start(now, upstream);
         let running = Running {
@@ -236,9 +245,11 @@
         });
     }
 
-    fn refuse(&mut self, now: Instant, kind: Kind, work: WorkKey, reason: Refusal) {
-        let opens_in = self.opens_in(now, kind);
-        let retry_after = self.lane(kind).retry_after(self.serving(kind), opens_in);
+    fn refuse(&mut self, now: Instant, kind: LaneKind, work: WorkKey, reason: Refusal) {
+        let available_in = self.available_in(now, kind);
+        let retry_after = self
+            .lane(kind)
+            .retry_after(self.serving(kind), available_in);
         self.decisions.push_back(Decision::Refuse {
             work,
             reason,
@@ -261,9 +272,9 @@
         }
     }
 
-    fn queue(&mut self, now: Instant, kind: Kind, mut work: Work) {
+    fn queue(&mut self, now: Instant, kind: LaneKind, mut work: Work) {
         if self.occupancy.is_some() {
-            self.lane_mut(kind).note_patience(now, &mut work);
+            self.lane_mut(kind).deduct_earlier_attempts(now, &mut work);
         }
         let serving = self.serving(kind);
         self.lane_mut(kind).queue.record_offer(now, &work);
@@ -284,7 +295,7 @@
         }
         let lane = self.lane_mut(kind);
         lane.queue.push(now, work);
-        lane.note_emptiness(now);
+        lane.update_waiting_since(now);
     }
 }
 
@@ -315,7 +326,7 @@
     fn cancel(&mut self, now: Instant, work: WorkKey) {
         for lane in &mut self.lanes {
             lane.queue.remove(work);
-            lane.note_emptiness(now);
+            lane.update_waiting_since(now);
         }
     }
 
@@ -334,7 +345,7 @@
         }
         let is_unanswered = matches!(finish.ending, Ending::Abandoned | Ending::Refused);
         let expired = is_unanswered && now >= ended.deadline;
-        if ended.kind != Kind::Training && (expired || finish.ending == Ending::Answered) {
+        if ended.kind != LaneKind::Training && (expired || finish.ending == Ending::Answered) {
             let patience = ended.deadline.saturating_duration_since(ended.started_at);
             self.limit.ended(finish.elapsed, patience);
         }
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -5,8 +5,8 @@
 
 use super::Balanced;
 use crate::lane::KINDS;
-use crate::lane::Kind;
-use crate::lane::Serving;
+use crate::lane::LaneKind;
+use crate::lane::ServingSlots;
 use crate::occupancy::Occupancy;
 use crate::priority_queue::QueuePosition;
 use crate::work::Refusal;
@@ -15,11 +15,11 @@
 
 impl Balanced {
     /// Slots that serve the queue of this kind on this node.
-    pub(super) fn serving(&self, kind: Kind) -> Serving {
+    pub(super) fn serving(&self, kind: LaneKind) -> ServingSlots {
         let own = self.slots_for(kind);
         match &self.occupancy {
-            Some(occupancy) => Serving::Shared(occupancy.milli_slots().min(own * 1_000)),
-            None => Serving::Own(own),
+            Some(occupancy) => ServingSlots::Shared(occupancy.milli_slots().min(own * 1_000)),
+            None => ServingSlots::Own(own),
         }
     }
 
@@ -33,10 +33,12 @@
     }
 
     /// Expected time until a call may start; zero if upstreams are not shared.
-    pub(super) fn opens_in(&self, now: Instant, kind: Kind) -> Duration {
-        let is_free = self.slots.free() > 0;
+    pub(super) fn available_in(&self, now: Instant, kind: LaneKind) -> Duration {
+        let is_open = self.slots.free() > 0;
         self.occupancy.as_ref().map_or(Duration::ZERO, |occupancy| {
-            occupancy.room(now, self.serving(kind), is_free).opens_in
+            occupancy
+                .room(now, self.serving(kind), is_open)
+                .available_in
         })
     }
 
@@ -53,15 +55,15 @@
     pub(super) fn admit(
         &self,
         now: Instant,
-        kind: Kind,
+        kind: LaneKind,
         work: &Work,
-        serving: Serving,
+        serving: ServingSlots,
     ) -> Result<QueuePosition, Refusal> {
         let lane = self.lane(kind);
         match &self.occupancy {
             Some(occupancy) => {
-                let is_free = self.slots.free() > 0;
-                lane.admit_shared(now, work, occupancy.room(now, serving, is_free))
+                let is_open = self.slots.free() > 0;
+                lane.admit_shared(now, work, occupancy.room(now, serving, is_open))
             }
             None => lane.admit(now, work, serving),
         }
@@ -70,8 +72,8 @@
     /// Refuses waiting work that cannot end before its deadline.
     pub(super) fn refuse_late(&mut self, now: Instant) {
         for kind in KINDS {
-            let opens_in = self.opens_in(now, kind);
-            for work in self.lane_mut(kind).remove_late(now, opens_in) {
+            let available_in = self.available_in(now, kind);
+            for work in self.lane_mut(kind).remove_late(now, available_in) {
                 self.refuse(now, kind, work.key, Refusal::Late);
             }
             self.refuse_overlong_waits(now, kind);
@@ -79,7 +81,7 @@
     }
 
     /// Refuses work that has waited too long while the upstreams are congested.
-    pub(super) fn refuse_overlong_waits(&mut self, now: Instant, kind: Kind) {
+    pub(super) fn refuse_overlong_waits(&mut self, now: Instant, kind: LaneKind) {
         if self.occupancy.as_ref().is_some_and(Occupancy::is_congested) {
             for work in self.lane_mut(kind).remove_overlong_waits(now) {
                 self.refuse(now, kind, work.key, Refusal::Saturated);
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -18,7 +18,7 @@
 
 /// Kinds of work, in descending order of precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum LaneKind {
     /// Live calls of usual cost.
     Short,
     /// Live calls that cost several times as much as usual.
@@ -28,7 +28,7 @@
 }
 
 /// All kinds, in descending order of precedence.
-pub const KINDS: [Kind; 3] = [Kind::Short, Kind::Long, Kind::Training];
+pub const KINDS: [LaneKind; 3] = [LaneKind::Short, LaneKind::Long, LaneKind::Training];
 
 /// Live work is admitted if this fraction of its expected time is left. Most answers are
 /// shorter than the mean, which a few long ones raise.
@@ -81,13 +81,13 @@
 
 /// Estimated free capacity of shared upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct Headroom {
     /// Slots that serve the queue.
-    pub serving: Serving,
+    pub serving: ServingSlots,
     /// Whether a call that starts now likely finds a free slot.
-    pub is_free: bool,
+    pub has_free_slot: bool,
     /// Expected time until the next call may start; zero if one may start now.
-    pub opens_in: Duration,
+    pub available_in: Duration,
     /// Whether refusals or long queues have cut this node's limits to a small part of the
     /// slots.
     pub is_congested: bool,
@@ -95,7 +95,7 @@
 
 /// Slots that serve a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Serving {
+pub enum ServingSlots {
     /// Number of slots, all used by this node alone.
     Own(u32),
     /// This node's part of the slots of a service that other nodes call as well, in
@@ -103,7 +103,7 @@
     Shared(u32),
 }
 
-impl Serving {
+impl ServingSlots {
     /// Time in which the slots complete work that takes `work` on one slot.
     fn wait(self, work: Duration) -> Duration {
         match self {
@@ -128,7 +128,7 @@
 /// Queue, estimates and counts of one kind of work.
 #[derive(Debug)]
 pub struct Lane {
-    kind: Kind,
+    kind: LaneKind,
     /// Waiting work.
     pub queue: PriorityQueue,
     /// Expected service time.
@@ -146,7 +146,7 @@
 impl Lane {
     /// A lane without work.
     #[must_use]
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(kind: LaneKind) -> Self {
         Self {
             kind,
             queue: PriorityQueue::default(),
@@ -168,7 +168,7 @@
         &self,
         now: Instant,
         work: &Work,
-        serving: Serving,
+        serving: ServingSlots,
     ) -> Result<QueuePosition, Refusal> {
         let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
@@ -203,27 +203,27 @@
         &self,
         now: Instant,
         work: &Work,
-        room: Room,
+        headroom: Headroom,
     ) -> Result<QueuePosition, Refusal> {
         let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
         let needed = self.estimate.service(work).mul_f64(self.time_factor());
         let ahead = self.estimate.tokens(self.queue.tokens_ahead(position));
-        let wait = room.opens_in + room.serving.wait(ahead);
+        let wait = headroom.available_in + headroom.serving.wait(ahead);
         if left.is_zero() || wait + needed > left {
             return Err(Refusal::Late);
         }
         if !self.estimate.is_trusted() {
             return Ok(position);
         }
-        if room.is_congested && self.queue.must_yield(work.priority, room.is_free) {
+        if headroom.is_congested && self.queue.must_yield(work.priority, headroom.has_free_slot) {
             return Err(Refusal::LowPriority);
         }
-        if room.is_congested && self.queue.is_over_fair_share(work, room.is_free) {
+        if headroom.is_congested && self.queue.is_over_fair_share(work, headroom.has_free_slot) {
             return Err(Refusal::Saturated);
         }
         let is_long = wait > self.longest_wait(work, CONGESTED_ADMIT_CALL_TIMES);
-        if (room.is_congested || self.is_standing(now)) && is_long {
+        if (headroom.is_congested || self.is_standing(now)) && is_long {
             return Err(Refusal::Saturated);
         }
         Ok(position)
@@ -231,7 +231,7 @@
 
     /// Reduces the work's latency objective by the time that earlier attempts of its client
     /// are estimated to have used: the usual time to the deadline minus that of this work.
-    pub fn note_patience(&mut self, now: Instant, work: &mut Work) {
+    pub fn deduct_earlier_attempts(&mut self, now: Instant, work: &mut Work) {
         let patience = work.deadline.saturating_duration_since(now);
         self.usual_patience = self.usual_patience.mul_f64(PATIENCE_DECAY).max(patience);
         let used = self.usual_patience.saturating_sub(patience);
@@ -240,32 +240,32 @@
 
     /// Whether the queue has reached its maximum length.
     #[must_use]
-    pub fn is_full(&self, serving: Serving) -> bool {
+    pub fn is_full(&self, serving: ServingSlots) -> bool {
         self.queue.len() >= MIN_QUEUE_LIMIT + serving.rounded_up() * MAX_QUEUED_PER_SLOT
     }
 
     /// Time after which refused work may be retried: the expected time for the queue to drain.
-    /// For shared upstreams, `opens_in` (the time until any work may start) is added.
+    /// For shared upstreams, `available_in` (the time until any work may start) is added.
     #[must_use]
-    pub fn retry_after(&self, serving: Serving, opens_in: Duration) -> Duration {
+    pub fn retry_after(&self, serving: ServingSlots, available_in: Duration) -> Duration {
         let queued_tokens = self.queue.tokens_ahead(QueuePosition::LAST);
         if serving.is_shared() {
             // Another call can start once the queue has drained and one more slot is free.
             let free = serving.wait(self.estimate.tokens(queued_tokens.saturating_add(1)));
-            return (opens_in + free).clamp(MIN_SHARED_RETRY_AFTER, MAX_RETRY_AFTER);
+            return (available_in + free).clamp(MIN_SHARED_RETRY_AFTER, MAX_RETRY_AFTER);
         }
         let drained = serving.wait(self.estimate.tokens(queued_tokens));
         drained.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Removes work that can no longer end in time, given that none starts before `opens_in`
+    /// Removes work that can no longer end in time, given that none starts before `available_in`
     /// has passed.
-    pub fn remove_late(&mut self, now: Instant, opens_in: Duration) -> Vec<Work> {
+    pub fn remove_late(&mut self, now: Instant, available_in: Duration) -> Vec<Work> {
         let estimate = self.estimate;
         let time_factor = self.time_factor();
         self.queue.extract_if(|queued| {
             let needed = estimate.service(&queued.work).mul_f64(time_factor);
-            queued.work.deadline < now + opens_in + needed
+            queued.work.deadline < now + available_in + needed
         })
     }
 
@@ -289,11 +289,11 @@
     pub fn tick(&mut self, now: Instant) {
         self.reserve.look(self.in_flight + self.queue.len() as u32);
         self.queue.forget_idle_callers(now);
-        self.note_emptiness(now);
+        self.update_waiting_since(now);
     }
 
     /// Updates since when the queue has not been empty; call it after each change of the queue.
-    pub fn note_emptiness(&mut self, now: Instant) {
+    pub fn update_waiting_since(&mut self, now: Instant) {
         if self.queue.is_empty() {
             self.waiting_since = None;
         } else {
@@ -303,8 +303,8 @@
 
     const fn time_factor(&self) -> f64 {
         match self.kind {
-            Kind::Short | Kind::Long => LIVE_TIME_FACTOR,
-            Kind::Training => TRAINING_TIME_FACTOR,
+            LaneKind::Short | LaneKind::Long => LIVE_TIME_FACTOR,
+            LaneKind::Training => TRAINING_TIME_FACTOR,
         }
     }
 
@@ -312,7 +312,7 @@
     /// has work waiting and no user waiting: the samples' deadlines bound its queue, so that no
     /// slot idles while feeds retry.
     fn is_standing(&self, now: Instant) -> bool {
-        if self.kind == Kind::Training {
+        if self.kind == LaneKind::Training {
             return false;
         }
         let standing_after = self.estimate.mean().mul_f64(STANDING_AFTER_SERVICE_TIMES);
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::lane::Room;
-use crate::lane::Serving;
+use crate::lane::Headroom;
+use crate::lane::ServingSlots;
 use crate::route::splitmix64;
 use crate::work::Ending;
 use crate::work::Finish;
@@ -184,20 +184,20 @@
     /// Estimated room for the queue that `serving` serves. `is_open`: one more call may start
     /// now.
     #[must_use]
-    pub fn room(&self, now: Instant, serving: Serving, is_open: bool) -> Room {
+    pub fn room(&self, now: Instant, serving: ServingSlots, is_open: bool) -> Headroom {
         let opening = self
             .upstreams
             .iter()
             .map(|upstream| upstream.expected_room(now));
         let opens = opening.min().filter(|_| !is_open);
-        Room {
+        Headroom {
             serving,
-            is_free: is_open
+            has_free_slot: is_open
                 && self
                     .upstreams
                     .iter()
                     .any(|upstream| upstream.has_free_slot(now)),
-            opens_in: opens.map_or(Duration::ZERO, |at| at.duration_since(now)),
+            available_in: opens.map_or(Duration::ZERO, |at| at.duration_since(now)),
             is_congested: self.is_congested(),
         }
     }
