--- a/crates/policy/src/aimd_limit.rs
+++ b/crates/policy/src/aimd_limit.rs
@@ -33,14 +33,14 @@
 
 /// Fraction of the configured limit that is in use.
 #[derive(Debug, Clone, Copy)]
-pub struct Limit {
+pub struct AimdLimit {
     fraction: f64,
     answers: u32,
     nearly_late: u32,
     adjusted_at: Option<Instant>,
 }
 
-impl Default for Limit {
+impl Default for AimdLimit {
     fn default() -> Self {
         Self {
             fraction: 1.0,
@@ -51,9 +51,9 @@
     }
 }
 
-impl Limit {
+impl AimdLimit {
     /// Records a live call that took `elapsed` and had `patience` until its deadline.
-    pub fn ended(&mut self, elapsed: Duration, patience: Duration) {
+    pub fn record_answer(&mut self, elapsed: Duration, patience: Duration) {
         self.answers += 1;
         let late = elapsed.as_secs_f64() > patience.as_secs_f64() * NEARLY_LATE_FRACTION;
         self.nearly_late += u32::from(late);
@@ -80,7 +80,7 @@
 
     /// The limit in use, given the configured one.
     #[must_use]
-    pub fn of(&self, configured: f64) -> f64 {
+    pub fn apply(&self, configured: f64) -> f64 {
         configured * self.fraction
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use crate::aimd_limit::Limit;
+use crate::aimd_limit::AimdLimit;
 use crate::lane::KINDS;
 use crate::lane::Lane;
 use crate::lane::LaneKind;
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Balanced {
     slots: Slots,
-    limit: Limit,
+    limit: AimdLimit,
     lanes: [Lane; KINDS.len()],
     /// Sorted by work key.
     running: Vec<Running>,
@@ -79,7 +79,7 @@
     pub fn new() -> Self {
         Self {
             slots: Slots::default(),
-            limit: Limit::default(),
+            limit: AimdLimit::default(),
             lanes: KINDS.map(Lane::new),
             running: Vec::new(),
             usual_cost_log2: None,
@@ -347,7 +347,7 @@
         let expired = is_unanswered && now >= ended.deadline;
         if ended.kind != LaneKind::Training && (expired || finish.ending == Ending::Answered) {
             let patience = ended.deadline.saturating_duration_since(ended.started_at);
-            self.limit.ended(finish.elapsed, patience);
+            self.limit.record_answer(finish.elapsed, patience);
         }
         if let Some(load) = finish.told {
             self.slots.record_load(now, ended.upstream, load);
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use crate::aimd_limit::Limit;
+use crate::aimd_limit::AimdLimit;
 use crate::health::Health;
 use crate::health::ejections_allowed;
 use crate::route::Ring;
@@ -153,10 +153,10 @@
     }
 
     /// Updates how many slots may be used now.
-    pub fn refresh(&mut self, now: Instant, limit: &Limit) {
+    pub fn refresh(&mut self, now: Instant, limit: &AimdLimit) {
         let entry_range = self.entry_share.get(now);
         for upstream in &mut self.upstreams {
-            let limit_of_all = limit.of(f64::from(upstream.state.limit)) * self.scale;
+            let limit_of_all = limit.apply(f64::from(upstream.state.limit)) * self.scale;
             let offset = splitmix64(upstream.state.hash) as f64 / u64::MAX as f64;
             upstream.share = entry_range.slots(limit_of_all, offset);
         }
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::aimd_limit::Limit;
+use firweir_policy::aimd_limit::AimdLimit;
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
@@ -274,7 +274,7 @@
     // A node that has just started uses only a part of the slots.
     let now = start + WARM_UP;
     slots.set_upstreams(start, &[0, 1, 2].map(upstream_state), &Fleet::ALONE);
-    slots.refresh(now, &Limit::default());
+    slots.refresh(now, &AimdLimit::default());
     for answer in 0..60 {
         let at = now + Duration::from_millis(answer * 40);
         let key = UpstreamKey(answer as u32 % 3);
@@ -291,7 +291,7 @@
         slots.release(at, key, Ending::Answered, 1, elapsed);
     }
     slots.compare(now + Duration::from_millis(2_400));
-    slots.refresh(now + Duration::from_millis(2_400), &Limit::default());
+    slots.refresh(now + Duration::from_millis(2_400), &AimdLimit::default());
     slots
 }
 
@@ -323,7 +323,7 @@
     };
     let upstreams = [restarted, upstream_state(1), upstream_state(2)];
     slots.set_upstreams(later, &upstreams, &Fleet::ALONE);
-    slots.refresh(later, &Limit::default());
+    slots.refresh(later, &AimdLimit::default());
     assert!(is_picked(&slots, 9));
 }
 
