--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -20,7 +20,7 @@
 use crate::health::Health;
 use crate::health::ejections_allowed;
 use crate::route::ScoreInputs;
-use crate::service_time::Estimate;
+use crate::service_time::ServiceTimeEstimate;
 use crate::work::Ending;
 use crate::work::Finish;
 use crate::work::Fleet;
@@ -83,7 +83,7 @@
     /// doubles with each round of answers: several nodes may start at the same time, and
     /// reported loads show that only with the first answers.
     window: u32,
-    estimate: Estimate,
+    estimate: ServiceTimeEstimate,
     decisions: VecDeque<Decision>,
     /// Calls start as soon as any slot is free.
     unpaced: bool,
@@ -383,7 +383,7 @@
             );
         }
         if finish.ending == Ending::Answered {
-            self.estimate.learn(ended.cost_tokens, finish.elapsed);
+            self.estimate.observe(ended.cost_tokens, finish.elapsed);
         }
         self.start_waiting(now);
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -265,7 +265,7 @@
             if !estimate.is_trusted() {
                 continue;
             }
-            let expected = estimate.tokens(u64::from(running.cost_tokens.max(1)));
+            let expected = estimate.time_for_tokens(u64::from(running.cost_tokens.max(1)));
             let elapsed = now.duration_since(running.started_at);
             let ratio = elapsed.as_secs_f64() / expected.as_secs_f64().max(1e-6);
             self.slots.record_overdue_ratio(running.upstream, ratio);
@@ -341,7 +341,7 @@
         let lane = self.lane_mut(ended.kind);
         lane.in_flight -= 1;
         if finish.ending == Ending::Answered {
-            lane.estimate.learn(ended.cost_tokens, finish.elapsed);
+            lane.estimate.observe(ended.cost_tokens, finish.elapsed);
         }
         let is_unanswered = matches!(finish.ending, Ending::Abandoned | Ending::Refused);
         let expired = is_unanswered && now >= ended.deadline;
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -12,7 +12,7 @@
 use crate::priority_queue::PriorityQueue;
 use crate::priority_queue::QueuePosition;
 use crate::reserve::Reserve;
-use crate::service_time::Estimate;
+use crate::service_time::ServiceTimeEstimate;
 use crate::work::Refusal;
 use crate::work::Work;
 
@@ -132,7 +132,7 @@
     /// Waiting work.
     pub queue: PriorityQueue,
     /// Expected service time.
-    pub estimate: Estimate,
+    pub estimate: ServiceTimeEstimate,
     /// Slots to reserve for this kind.
     pub reserve: Reserve,
     /// Amount of work that was started and has not ended.
@@ -150,7 +150,7 @@
         Self {
             kind,
             queue: PriorityQueue::default(),
-            estimate: Estimate::default(),
+            estimate: ServiceTimeEstimate::default(),
             reserve: Reserve::default(),
             in_flight: 0,
             waiting_since: None,
@@ -172,7 +172,10 @@
     ) -> Result<QueuePosition, Refusal> {
         let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
-        let needed = self.estimate.service(work).mul_f64(self.time_factor());
+        let needed = self
+            .estimate
+            .expected_time(work)
+            .mul_f64(self.time_factor());
         let trusted = self.estimate.is_trusted();
         if left.is_zero() || (trusted && left < needed) {
             return Err(Refusal::Late);
@@ -180,7 +183,10 @@
         if self.queue.is_empty() || !trusted {
             return Ok(position);
         }
-        let wait = serving.wait(self.estimate.tokens(self.queue.tokens_ahead(position)));
+        let wait = serving.wait(
+            self.estimate
+                .time_for_tokens(self.queue.tokens_ahead(position)),
+        );
         if wait + needed > left {
             return Err(Refusal::Late);
         }
@@ -207,8 +213,13 @@
     ) -> Result<QueuePosition, Refusal> {
         let position = self.queue.position_of(work);
         let left = work.deadline.saturating_duration_since(now);
-        let needed = self.estimate.service(work).mul_f64(self.time_factor());
-        let ahead = self.estimate.tokens(self.queue.tokens_ahead(position));
+        let needed = self
+            .estimate
+            .expected_time(work)
+            .mul_f64(self.time_factor());
+        let ahead = self
+            .estimate
+            .time_for_tokens(self.queue.tokens_ahead(position));
         let wait = headroom.available_in + headroom.serving.wait(ahead);
         if left.is_zero() || wait + needed > left {
             return Err(Refusal::Late);
@@ -251,10 +262,13 @@
         let queued_tokens = self.queue.tokens_ahead(QueuePosition::LAST);
         if serving.is_shared() {
             // Another call can start once the queue has drained and one more slot is free.
-            let free = serving.wait(self.estimate.tokens(queued_tokens.saturating_add(1)));
+            let free = serving.wait(
+                self.estimate
+                    .time_for_tokens(queued_tokens.saturating_add(1)),
+            );
             return (available_in + free).clamp(MIN_SHARED_RETRY_AFTER, MAX_RETRY_AFTER);
         }
-        let drained = serving.wait(self.estimate.tokens(queued_tokens));
+        let drained = serving.wait(self.estimate.time_for_tokens(queued_tokens));
         drained.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
@@ -264,7 +278,7 @@
         let estimate = self.estimate;
         let time_factor = self.time_factor();
         self.queue.extract_if(|queued| {
-            let needed = estimate.service(&queued.work).mul_f64(time_factor);
+            let needed = estimate.expected_time(&queued.work).mul_f64(time_factor);
             queued.work.deadline < now + available_in + needed
         })
     }
@@ -287,7 +301,8 @@
 
     /// Updates the reserve and forgets idle callers; called at regular intervals.
     pub fn tick(&mut self, now: Instant) {
-        self.reserve.look(self.in_flight + self.queue.len() as u32);
+        self.reserve
+            .observe(self.in_flight + self.queue.len() as u32);
         self.queue.forget_idle_callers(now);
         self.update_waiting_since(now);
     }
@@ -325,7 +340,7 @@
 /// Longest wait during congestion. Work may wait for `call_times` mean call times, or longer if
 /// it can still end within [`OBJECTIVE_FRACTION`] of its latency objective. Work whose objective
 /// has already passed may not wait.
-fn longest_wait(estimate: &Estimate, work: &Work, call_times: f64) -> Duration {
+fn longest_wait(estimate: &ServiceTimeEstimate, work: &Work, call_times: f64) -> Duration {
     let short = estimate.mean().mul_f64(call_times);
     let Some(objective) = work.objective else {
         return short;
@@ -334,5 +349,5 @@
         return Duration::ZERO;
     }
     let bounded = objective.mul_f64(OBJECTIVE_FRACTION);
-    short.max(bounded.saturating_sub(estimate.service(work)))
+    short.max(bounded.saturating_sub(estimate.expected_time(work)))
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -28,7 +28,7 @@
 
 impl Reserve {
     /// Records how much work runs and waits; called once per tick.
-    pub fn look(&mut self, running_and_waiting: u32) {
+    pub fn observe(&mut self, running_and_waiting: u32) {
         let seen = f64::from(running_and_waiting);
         self.mean += (seen - self.mean) * SMOOTHING;
     }
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -18,15 +18,15 @@
 
 /// Moving means of the time per estimated token and per piece of work.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Estimate {
+pub struct ServiceTimeEstimate {
     us_per_token: f64,
     us_per_work: f64,
     count: u32,
 }
 
-impl Estimate {
+impl ServiceTimeEstimate {
     /// Records that work of this estimated cost took this long.
-    pub fn learn(&mut self, cost_tokens: u32, elapsed: Duration) {
+    pub fn observe(&mut self, cost_tokens: u32, elapsed: Duration) {
         let us = elapsed.as_secs_f64() * 1e6;
         let us_per_token = us / f64::from(cost_tokens.max(1));
         self.count = self.count.saturating_add(1);
@@ -43,13 +43,13 @@
 
     /// Expected time of this work; zero while nothing is known.
     #[must_use]
-    pub fn service(&self, work: &Work) -> Duration {
-        self.tokens(u64::from(work.cost_tokens.max(1)))
+    pub fn expected_time(&self, work: &Work) -> Duration {
+        self.time_for_tokens(u64::from(work.cost_tokens.max(1)))
     }
 
     /// Expected time of this many estimated tokens, processed one after another.
     #[must_use]
-    pub fn tokens(&self, tokens: u64) -> Duration {
+    pub fn time_for_tokens(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 * self.us_per_token / 1e6)
     }
 
