--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -11,7 +11,7 @@
 
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::retry::Budget;
+use firweir_policy::retry::RetryBudget;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::Finish;
@@ -84,7 +84,7 @@
 
 struct Inner {
     dispatcher: Box<dyn Dispatcher>,
-    budget: Budget,
+    budget: RetryBudget,
     next_work: u64,
     /// Sorted by key: keys only grow.
     waiting: Vec<(WorkKey, oneshot::Sender<Decision>)>,
@@ -110,7 +110,7 @@
     pub fn new(clock: Arc<dyn Clock>, dispatcher: Box<dyn Dispatcher>) -> Arc<Self> {
         let inner = Inner {
             dispatcher,
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
             next_work: 0,
             waiting: Vec::new(),
             addresses: Vec::new(),
@@ -201,12 +201,12 @@
 
     /// Counts a first try against which retries are budgeted.
     pub fn count_offered(&self) {
-        self.lock().budget.offered();
+        self.lock().budget.deposit();
     }
 
     /// Takes a retry from the budget, if the ending and the request allow one.
     pub fn allow_retry(&self, ending: Ending, idempotent: bool, tries: u32) -> bool {
-        self.lock().budget.allow(ending, idempotent, tries)
+        self.lock().budget.try_withdraw(ending, idempotent, tries)
     }
 
     /// Work in flight and work that waits.
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -234,7 +234,7 @@
         let mut tries = Tries::new(call.route.max_attempts, call.progress.is_shared);
         let mut failed_answer = None;
         let mut may_have_run = false;
-        while tries.any_left() {
+        while tries.has_tries_left() {
             let asked = self.shared.clock.now();
             let admitted = gate.admit(call.ask(asked, prefix, &tries)).await;
             call.progress
@@ -252,16 +252,16 @@
             let upstream = permit.upstream();
             // Refused tries do not count as attempts, but the route still limits how many different
             // upstreams may get the call.
-            if !tries.may_reach(upstream) {
+            if !tries.may_send_to(upstream) {
                 break;
             }
             let last = tries.is_last() || !idempotent;
             let outcome = self.try_upstream(call, service, permit, last).await;
             if matches!(outcome, Try::NotSent) {
-                tries.note_not_sent(upstream);
+                tries.record_not_sent(upstream);
             } else {
                 self.count_try(call, &outcome);
-                tries.note_sent(upstream, matches!(outcome, Try::NotRun));
+                tries.record_sent(upstream, matches!(outcome, Try::NotRun));
             }
             match outcome {
                 Try::Answer(answer) => return answer,
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of tries, including the first. A third upstream helps only if two crash at
 /// the same time; more crashes indicate a request that causes them.
-pub const TRIES: u32 = 3;
+pub const MAX_TRIES: u32 = 3;
 
 /// Load that retries may add, in percent of the offered load.
 pub const BUDGET_PERCENT: u64 = 10;
@@ -25,11 +25,11 @@
 
 /// Limits retries to a fraction of the offered load.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     balance_hundredths: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             balance_hundredths: MAX_BALANCE_HUNDREDTHS,
@@ -37,9 +37,9 @@
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Records work that is offered for the first time.
-    pub fn offered(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance_hundredths =
             (self.balance_hundredths + DEPOSIT_HUNDREDTHS).min(MAX_BALANCE_HUNDREDTHS);
     }
@@ -48,13 +48,14 @@
     ///
     /// Work that may have run is retried only if it is idempotent: an upstream whose connection
     /// closed may have run it.
-    pub fn allow(&mut self, ending: Ending, idempotent: bool, tries: u32) -> bool {
+    pub fn try_withdraw(&mut self, ending: Ending, idempotent: bool, tries: u32) -> bool {
         let may_run_again = match ending {
             Ending::Unreachable => true,
             Ending::Failed => idempotent,
             Ending::Answered | Ending::Abandoned | Ending::Refused => false,
         };
-        let allowed = may_run_again && self.balance_hundredths >= RETRY_HUNDREDTHS && tries < TRIES;
+        let allowed =
+            may_run_again && self.balance_hundredths >= RETRY_HUNDREDTHS && tries < MAX_TRIES;
         if allowed {
             self.balance_hundredths -= RETRY_HUNDREDTHS;
         }
--- a/crates/policy/src/tries.rs
+++ b/crates/policy/src/tries.rs
@@ -39,7 +39,7 @@
 
     /// Whether the call may be tried again.
     #[must_use]
-    pub const fn any_left(&self) -> bool {
+    pub const fn has_tries_left(&self) -> bool {
         self.counted < self.limit
     }
 
@@ -51,7 +51,7 @@
 
     /// Whether the call may be sent to this upstream.
     #[must_use]
-    pub fn may_reach(&self, upstream: UpstreamKey) -> bool {
+    pub fn may_send_to(&self, upstream: UpstreamKey) -> bool {
         self.sent_to.contains(&upstream) || self.sent_to.len() < self.limit as usize
     }
 
@@ -62,12 +62,12 @@
     }
 
     /// Records that the call could not be sent to this upstream, which does not count as a try.
-    pub fn note_not_sent(&mut self, upstream: UpstreamKey) {
+    pub fn record_not_sent(&mut self, upstream: UpstreamKey) {
         self.avoid.push(upstream);
     }
 
     /// Records that the call was sent to this upstream, and whether it was refused there.
-    pub fn note_sent(&mut self, upstream: UpstreamKey, is_refused: bool) {
+    pub fn record_sent(&mut self, upstream: UpstreamKey, is_refused: bool) {
         if !self.sent_to.contains(&upstream) {
             self.sent_to.push(upstream);
         }
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -235,7 +235,7 @@
     }
 
     fn start_call(&mut self, node: usize, work: WorkKey, upstream: UpstreamKey) {
-        if self.tries[work.0 as usize].may_reach(upstream) {
+        if self.tries[work.0 as usize].may_send_to(upstream) {
             self.sent_at[work.0 as usize] = self.now;
             return self.send(work, upstream.0 as usize, None);
         }
@@ -347,8 +347,8 @@
             return self.end(work, true);
         }
         let tries = &mut self.tries[work.0 as usize];
-        tries.note_sent(UpstreamKey(message.upstream as u32), true);
-        if !tries.any_left() {
+        tries.record_sent(UpstreamKey(message.upstream as u32), true);
+        if !tries.has_tries_left() {
             return self.refuse(work, RETRY_DELAY);
         }
         self.offer_call(work);
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::retry::Budget;
+use firweir_policy::retry::RetryBudget;
 use firweir_policy::route::SUBSET_SIZE;
 use firweir_policy::route::splitmix64;
 use firweir_policy::route::subset;
@@ -147,11 +147,11 @@
 /// Guards against retries that double the load on failing upstreams when every call fails.
 #[test]
 fn retries_add_a_tenth_at_most() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let mut retries = 0_u32;
     for _ in 0..1_000 {
-        budget.offered();
-        retries += u32::from(budget.allow(Ending::Failed, true, 1));
+        budget.deposit();
+        retries += u32::from(budget.try_withdraw(Ending::Failed, true, 1));
     }
     assert!(retries <= 110, "{retries}");
     assert!(retries >= 100, "{retries}");
@@ -182,7 +182,7 @@
         case(Ending::Failed, true, 3, false),
     ];
     for case in cases {
-        let got = Budget::default().allow(case.ending, case.idempotent, case.tries);
+        let got = RetryBudget::default().try_withdraw(case.ending, case.idempotent, case.tries);
         assert_eq!(got, case.allowed, "{:?} {}", case.ending, case.idempotent);
     }
 }
--- a/crates/policy/tests/tries.rs
+++ b/crates/policy/tests/tries.rs
@@ -11,13 +11,13 @@
 #[test]
 fn an_upstream_that_refuses_twice_counts_once() {
     let mut tries = Tries::new(2, true);
-    tries.note_sent(FIRST, true);
-    tries.note_sent(FIRST, true);
-    assert!(tries.any_left());
-    assert!(tries.may_reach(SECOND));
-    tries.note_sent(SECOND, true);
-    assert!(!tries.may_reach(THIRD));
-    assert!(tries.may_reach(FIRST));
+    tries.record_sent(FIRST, true);
+    tries.record_sent(FIRST, true);
+    assert!(tries.has_tries_left());
+    assert!(tries.may_send_to(SECOND));
+    tries.record_sent(SECOND, true);
+    assert!(!tries.may_send_to(THIRD));
+    assert!(tries.may_send_to(FIRST));
 }
 
 /// Guards against a call that is refused repeatedly being held until its deadline.
@@ -25,8 +25,8 @@
 fn refusals_are_bounded() {
     let mut tries = Tries::new(2, true);
     let sent = (0..100).take_while(|_| {
-        let is_left = tries.any_left();
-        tries.note_sent(FIRST, true);
+        let is_left = tries.has_tries_left();
+        tries.record_sent(FIRST, true);
         is_left
     });
     assert_eq!(sent.count(), 6);
@@ -36,8 +36,8 @@
 #[test]
 fn without_sharing_each_refusal_counts() {
     let mut tries = Tries::new(2, false);
-    tries.note_sent(FIRST, true);
+    tries.record_sent(FIRST, true);
     assert!(tries.is_last());
-    tries.note_sent(SECOND, true);
-    assert!(!tries.any_left());
+    tries.record_sent(SECOND, true);
+    assert!(!tries.has_tries_left());
 }
