--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -201,8 +201,7 @@
                 let work = &queued.work;
                 match kind {
                     LaneKind::Training => {
-                        self.slots
-                            .pick_least_loaded(now, work.prefix, &work.avoid)
+                        self.slots.pick_least_loaded(now, work.prefix, &work.avoid)
                     }
                     LaneKind::Short | LaneKind::Long => {
                         self.slots.pick(now, work.prefix, &work.avoid)
