--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::MoveReason;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::SampleKey;
 use firweir_policy::slack::Lengths;
 use firweir_policy::slack::SampleOrder;
 use firweir_policy::step_order::Sample;
@@ -32,7 +32,7 @@
 /// One sample that is being made, or waits for its score.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) key: DraftKey,
+    pub(crate) key: SampleKey,
     pub(crate) board: Arc<Board>,
     pub(crate) place: usize,
     /// Lowest first among those that wait.
@@ -187,7 +187,7 @@
 }
 
 impl State {
-    pub(crate) fn job_at(&self, key: DraftKey) -> Option<usize> {
+    pub(crate) fn job_at(&self, key: SampleKey) -> Option<usize> {
         self.jobs.binary_search_by_key(&key, |job| job.key).ok()
     }
 
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -10,13 +10,13 @@
 use std::time::Instant;
 
 use firweir_policy::periodic_work::pause_after;
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Move;
 use firweir_policy::placement::MoveReason;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::pool::engines_needed;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
@@ -151,7 +151,7 @@
         // from it.
         let whole = kept.as_ref().filter(|kept| kept.whole).cloned();
         let progress = whole.or_else(|| board.saved_text(&item.id)).or(kept);
-        let key = DraftKey(state.next_draft);
+        let key = SampleKey(state.next_draft);
         state.next_draft += 1;
         state.jobs.push(Job {
             key,
@@ -176,7 +176,7 @@
     }
 
     /// Drafts what is missing of an item's text, or has the whole text scored.
-    fn go_on(&self, state: &mut State, key: DraftKey) {
+    fn go_on(&self, state: &mut State, key: SampleKey) {
         let Some(at) = state.job_at(key) else {
             return;
         };
@@ -203,7 +203,7 @@
         }));
     }
 
-    fn take_score(&self, key: DraftKey, scored: Scored) {
+    fn take_score(&self, key: SampleKey, scored: Scored) {
         let mut state = self.lock();
         let Some(at) = state.job_at(key) else {
             return;
@@ -240,7 +240,7 @@
             .partition(|job| job.board.id == submission);
         state.jobs = kept;
         let gone: Vec<Job> = gone;
-        let is_gone = |key: DraftKey| gone.binary_search_by_key(&key, |job| job.key).is_ok();
+        let is_gone = |key: SampleKey| gone.binary_search_by_key(&key, |job| job.key).is_ok();
         state.placement.cancel(is_gone);
         for job in gone {
             if job.running {
@@ -386,7 +386,7 @@
     /// Routes may lead elsewhere now.
     fn offer_again(&self, state: &mut State) {
         state.placement.cancel(|_| true);
-        let waiting: Vec<DraftKey> = state
+        let waiting: Vec<SampleKey> = state
             .jobs
             .iter()
             .filter(|job| !job.running)
@@ -398,7 +398,7 @@
     }
 
     /// Lets an item wait for an engine, or gives it up if its route is gone.
-    fn offer(&self, state: &mut State, key: DraftKey) {
+    fn offer(&self, state: &mut State, key: SampleKey) {
         let Some(at) = state.job_at(key) else {
             return;
         };
@@ -415,7 +415,7 @@
         };
         let item = &board.items[place];
         let model = state.model_key(&target.service, &board.head.model);
-        state.placement.offer(Draft {
+        state.placement.offer(SampleRequest {
             key,
             group: xxh3_64(item.group.as_bytes()),
             model,
@@ -426,7 +426,7 @@
         });
     }
 
-    fn abandon(&self, state: &mut State, key: DraftKey, reason: &'static str) {
+    fn abandon(&self, state: &mut State, key: SampleKey, reason: &'static str) {
         let Some(at) = state.job_at(key) else {
             return;
         };
@@ -465,7 +465,7 @@
             let route = config.route(&head.host, &head.path);
             route.is_some_and(|route| job.board.expires(route) < now)
         };
-        let expired: Vec<DraftKey> = state
+        let expired: Vec<SampleKey> = state
             .jobs
             .iter()
             .filter(|job| !job.running && expired(job))
@@ -477,11 +477,11 @@
         }
     }
 
-    fn start(&self, state: &mut State, key: DraftKey, engine: UpstreamKey) {
+    fn start(&self, state: &mut State, key: SampleKey, engine: UpstreamKey) {
         let now = self.shared.clock.now();
         let engine = state.engine(engine);
         let (Some(at), Some(upstream)) = (state.job_at(key), engine) else {
-            state.placement.finish(now, key, DraftEnding::Cancelled);
+            state.placement.finish(now, key, RunOutcome::Cancelled);
             return;
         };
         let job = &mut state.jobs[at];
@@ -512,7 +512,7 @@
 
     async fn draft(
         self,
-        key: DraftKey,
+        key: SampleKey,
         board: Arc<Board>,
         place: usize,
         assigned: Assigned,
@@ -561,12 +561,12 @@
             self.shared.journal.event("draft_ended", &fields);
         }
         let ending = match attempt {
-            Attempt::Whole => DraftEnding::Done,
-            Attempt::NotRun | Attempt::TooOld => DraftEnding::Refused,
+            Attempt::Whole => RunOutcome::Done,
+            Attempt::NotRun | Attempt::TooOld => RunOutcome::Refused,
             Attempt::Impossible | Attempt::Failed | Attempt::VersionChanged | Attempt::Moved => {
-                DraftEnding::Cancelled
+                RunOutcome::Cancelled
             }
-            Attempt::Broken(_) => DraftEnding::Failed,
+            Attempt::Broken(_) => RunOutcome::Failed,
         };
         let mut state = self.lock();
         state.placement.finish(ended, key, ending);
@@ -588,7 +588,7 @@
     /// Expected remaining time of a sample that was told to leave a slow engine, in milliseconds:
     /// on that engine, and on another one. `None` if it was not moved for speed, or if no
     /// estimate is known.
-    fn rest_ms(&self, key: DraftKey) -> Option<(u64, u64)> {
+    fn rest_ms(&self, key: SampleKey) -> Option<(u64, u64)> {
         let state = self.lock();
         let job = &state.jobs[state.job_at(key)?];
         let MoveReason::Slow(rest) = job.moved? else {
@@ -600,7 +600,7 @@
     }
 
     /// Lists the item, or lets it wait for another engine.
-    fn settle(&self, state: &mut State, key: DraftKey, at: usize, attempt: Attempt) {
+    fn settle(&self, state: &mut State, key: SampleKey, at: usize, attempt: Attempt) {
         match attempt {
             Attempt::Whole => {
                 let job = &mut state.jobs[at];
@@ -668,7 +668,7 @@
     }
 
     /// Takes in the next event of a run.
-    fn take_event(&self, key: DraftKey, event: StreamEvent, version: u64) {
+    fn take_event(&self, key: SampleKey, event: StreamEvent, version: u64) {
         let now = self.shared.clock.now();
         let mut state = self.lock();
         state.placement.note_event(now, key);
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -10,12 +10,12 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::EngineWeights;
 use firweir_policy::weight_loads::loads_at_most;
@@ -37,9 +37,9 @@
     }
 }
 
-fn new_sample(key: u64) -> Draft {
-    Draft {
-        key: DraftKey(key),
+fn new_sample(key: u64) -> SampleRequest {
+    SampleRequest {
+        key: SampleKey(key),
         group: key / 16,
         model: MODEL,
         min_version: 1,
@@ -59,7 +59,7 @@
     while placement.next(now).is_some() {}
     for event in 1..4 {
         for key in 0..160 {
-            placement.note_event(now + Duration::from_millis(40 * event), DraftKey(key));
+            placement.note_event(now + Duration::from_millis(40 * event), SampleKey(key));
         }
     }
     placement
@@ -74,7 +74,7 @@
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 at += Duration::from_micros(250);
-                placement.note_event(black_box(at), DraftKey(7));
+                placement.note_event(black_box(at), SampleKey(7));
             });
         });
     }
@@ -92,7 +92,7 @@
                 key += 1;
                 placement.offer(new_sample(key));
                 black_box(placement.next(now));
-                placement.finish(now, DraftKey(key), DraftEnding::Done);
+                placement.finish(now, SampleKey(key), RunOutcome::Done);
             });
         });
     }
@@ -114,7 +114,7 @@
                 step.clone()
                     .for_each(|key| placement.offer(new_sample(key)));
                 while placement.next(now).is_some() {}
-                step.for_each(|key| placement.finish(now, DraftKey(key), DraftEnding::Done));
+                step.for_each(|key| placement.finish(now, SampleKey(key), RunOutcome::Done));
                 placement.cancel(|_| true);
             });
         });
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -24,7 +24,7 @@
 
 /// Identifies a sample within this process; ascends in order of creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DraftKey(pub u64);
+pub struct SampleKey(pub u64);
 
 /// Identifies a model within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,9 +32,9 @@
 
 /// A sample that needs an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Draft {
+pub struct SampleRequest {
     /// Identifies the sample.
-    pub key: DraftKey,
+    pub key: SampleKey,
     /// Hash of its group, whose samples share their prompt.
     pub group: u64,
     /// Model that generates it.
@@ -66,7 +66,7 @@
 
 /// How the run of a sample on an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DraftEnding {
+pub enum RunOutcome {
     /// The sample is complete.
     Done,
     /// The engine did not run it: it is full or loads weights.
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Move {
     /// Identifies the sample.
-    pub key: DraftKey,
+    pub key: SampleKey,
     /// Why it moves.
     pub reason: MoveReason,
 }
@@ -196,7 +196,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Running {
-    sample: Draft,
+    sample: SampleRequest,
     engine: UpstreamKey,
     started_at: Instant,
     last_event: Option<Instant>,
@@ -212,7 +212,7 @@
     /// Sorted by key.
     engines: Vec<Engine>,
     /// Sorted by rank, then key.
-    waiting: Vec<Draft>,
+    waiting: Vec<SampleRequest>,
     /// Sorted by sample key.
     running: Vec<Running>,
     /// Sorted by group.
@@ -223,7 +223,7 @@
     /// Event counts of samples that are complete.
     event_counts: EventHistogram,
     /// Samples that were moved for speed; sorted.
-    moved_for_speed: Vec<DraftKey>,
+    moved_for_speed: Vec<SampleKey>,
     /// Time for which `rankings` are valid; `None` after any change other than a start.
     ranked_at: Option<Instant>,
     rankings: Vec<Ranking>,
@@ -269,7 +269,7 @@
     }
 
     /// Adds a sample to the waiting ones.
-    pub fn offer(&mut self, sample: Draft) {
+    pub fn offer(&mut self, sample: SampleRequest) {
         let order = (sample.rank, sample.key);
         let at = self
             .waiting
@@ -279,13 +279,13 @@
 
     /// Drops waiting samples that are no longer wanted. Running ones are ended with
     /// [`Placement::finish`].
-    pub fn cancel(&mut self, unwanted: impl Fn(DraftKey) -> bool) {
+    pub fn cancel(&mut self, unwanted: impl Fn(SampleKey) -> bool) {
         self.waiting.retain(|sample| !unwanted(sample.key));
     }
 
     /// Assigns new ranks to the waiting samples and sorts them. A sample for which `rank` returns
     /// `None` keeps its rank.
-    pub fn rank_waiting(&mut self, rank: impl Fn(DraftKey) -> Option<u64>) {
+    pub fn rank_waiting(&mut self, rank: impl Fn(SampleKey) -> Option<u64>) {
         for sample in &mut self.waiting {
             sample.rank = rank(sample.key).unwrap_or(sample.rank);
         }
@@ -299,7 +299,7 @@
     }
 
     /// Records that the run of a sample on its engine has ended.
-    pub fn finish(&mut self, now: Instant, key: DraftKey, ending: DraftEnding) {
+    pub fn finish(&mut self, now: Instant, key: SampleKey, outcome: RunOutcome) {
         let Ok(at) = self
             .running
             .binary_search_by_key(&key, |running| running.sample.key)
@@ -314,19 +314,19 @@
         let engine = &mut self.engines[at];
         engine.in_flight = engine.in_flight.saturating_sub(1);
         engine.tokens = engine.tokens.saturating_sub(u64::from(ended.sample.tokens));
-        if ending == DraftEnding::Done {
+        if outcome == RunOutcome::Done {
             self.event_counts.learn(ended.events);
         }
-        match ending {
-            DraftEnding::Done | DraftEnding::Cancelled => {}
-            DraftEnding::Refused => engine.pause_until(now + REFUSED_PAUSE),
-            DraftEnding::Failed => engine.pause_until(now + FAILED_PAUSE),
+        match outcome {
+            RunOutcome::Done | RunOutcome::Cancelled => {}
+            RunOutcome::Refused => engine.pause_until(now + REFUSED_PAUSE),
+            RunOutcome::Failed => engine.pause_until(now + FAILED_PAUSE),
         }
     }
 
     /// Starts the next sample and returns it with its engine; `None` if no waiting sample can
     /// start.
-    pub fn next(&mut self, now: Instant) -> Option<(DraftKey, UpstreamKey)> {
+    pub fn next(&mut self, now: Instant) -> Option<(SampleKey, UpstreamKey)> {
         if self.waiting.is_empty() {
             return None;
         }
@@ -341,7 +341,7 @@
         } else {
             self.with_free_slots(now)
         };
-        let mut unplaced: Vec<Draft> = Vec::new();
+        let mut unplaced: Vec<SampleRequest> = Vec::new();
         let mut placed = None;
         for at in 0..self.waiting.len() {
             let sample = self.waiting[at];
@@ -382,7 +382,7 @@
     }
 
     /// Records that a running sample has generated an event.
-    pub fn note_event(&mut self, now: Instant, key: DraftKey) {
+    pub fn note_event(&mut self, now: Instant, key: SampleKey) {
         let median_s = self.median_event_s(now);
         let Ok(at) = self
             .running
@@ -400,8 +400,8 @@
     }
 
     /// Samples to move from a slow or silent engine while another one has a free slot. Each is
-    /// returned once; its run ends as [`DraftEnding::Cancelled`].
-    pub fn moves(&mut self, now: Instant) -> Vec<DraftKey> {
+    /// returned once; its run ends as [`RunOutcome::Cancelled`].
+    pub fn moves(&mut self, now: Instant) -> Vec<SampleKey> {
         let moves = self.moves_with_reasons(now);
         moves.into_iter().map(|each| each.key).collect()
     }
@@ -491,7 +491,7 @@
         ))
     }
 
-    fn record_moved(&mut self, key: DraftKey) {
+    fn record_moved(&mut self, key: SampleKey) {
         if let Err(at) = self.moved_for_speed.binary_search(&key) {
             self.moved_for_speed.insert(at, key);
         }
@@ -502,8 +502,8 @@
 
     /// Samples to move away from the engines in `leaving` (sorted by key), at most as many as all
     /// engines have free slots for. Each is returned once; its run ends as
-    /// [`DraftEnding::Cancelled`].
-    pub fn moves_from(&mut self, now: Instant, leaving: &[UpstreamKey]) -> Vec<DraftKey> {
+    /// [`RunOutcome::Cancelled`].
+    pub fn moves_from(&mut self, now: Instant, leaving: &[UpstreamKey]) -> Vec<SampleKey> {
         let free_slots: u32 = self
             .engines
             .iter()
@@ -580,7 +580,7 @@
             .ok()
     }
 
-    fn start(&mut self, now: Instant, sample: Draft, at: usize) {
+    fn start(&mut self, now: Instant, sample: SampleRequest, at: usize) {
         let engine = &mut self.engines[at];
         engine.in_flight += 1;
         engine.tokens += u64::from(sample.tokens);
@@ -647,7 +647,7 @@
     fn best_ranked_engine(
         &mut self,
         now: Instant,
-        sample: &Draft,
+        sample: &SampleRequest,
         median_s: Option<f64>,
     ) -> Option<usize> {
         let ranking = self.ranking(now, sample.model, median_s);
@@ -690,7 +690,7 @@
     }
 
     /// The last engine that processed the prompt of the sample's group.
-    fn engine_with_prompt(&self, sample: &Draft) -> Option<UpstreamKey> {
+    fn engine_with_prompt(&self, sample: &SampleRequest) -> Option<UpstreamKey> {
         let group = self
             .group_engines
             .binary_search_by_key(&sample.group, |known| known.group);
@@ -701,7 +701,7 @@
     fn best_engine(
         &self,
         candidates: &[usize],
-        sample: &Draft,
+        sample: &SampleRequest,
         median_s: Option<f64>,
     ) -> Option<usize> {
         let engine_with_prompt = self.engine_with_prompt(sample);
@@ -739,7 +739,7 @@
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
 }
 
-impl Draft {
+impl SampleRequest {
     /// Whether no engine that lacks the resources for `other` can take this sample either.
     const fn requires_at_least(&self, other: &Self) -> bool {
         self.model.0 == other.model.0
@@ -789,7 +789,7 @@
     }
 
     /// Whether its memory and its weights suffice for the sample.
-    fn fits(&self, sample: &Draft) -> bool {
+    fn fits(&self, sample: &SampleRequest) -> bool {
         let tokens = self.tokens + u64::from(sample.tokens);
         // A sample larger than the whole memory is admitted alone: the engine decides whether to
         // run it.
@@ -805,7 +805,7 @@
         self.state.slots.saturating_sub(self.in_flight)
     }
 
-    fn has_version_for(&self, sample: &Draft) -> bool {
+    fn has_version_for(&self, sample: &SampleRequest) -> bool {
         let versions = &self.state.versions;
         let at = versions.binary_search_by_key(&sample.model, |(model, _)| *model);
         at.is_ok_and(|at| versions[at].1 >= sample.min_version)
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::work::UpstreamKey;
 
 const MODEL: ModelKey = ModelKey(0);
@@ -23,9 +23,9 @@
     }
 }
 
-fn new_sample(key: u64, tokens: u32, min_version: u64, rank: u64) -> Draft {
-    Draft {
-        key: DraftKey(key),
+fn new_sample(key: u64, tokens: u32, min_version: u64, rank: u64) -> SampleRequest {
+    SampleRequest {
+        key: SampleKey(key),
         group: key,
         model: MODEL,
         min_version,
@@ -46,7 +46,7 @@
 struct Case {
     name: &'static str,
     engines: Vec<EngineState>,
-    samples: Vec<Draft>,
+    samples: Vec<SampleRequest>,
     /// Keys of the samples that start, in order.
     expected: &'static [u64],
 }
@@ -104,7 +104,7 @@
     for at_ms in 0..until_ms {
         for (key, gap_ms) in gaps_ms {
             if at_ms % gap_ms == 0 {
-                placement.note_event(from + Duration::from_millis(at_ms), DraftKey(*key));
+                placement.note_event(from + Duration::from_millis(at_ms), SampleKey(*key));
             }
         }
     }
@@ -122,8 +122,8 @@
     record_events(&mut placement, now, &[(0, 40), (1, 40), (2, 120)], 1_000);
     let later = now + Duration::from_secs(1);
     assert_eq!(placement.moves(later), [], "no engine has a free slot");
-    placement.finish(later, DraftKey(0), DraftEnding::Done);
-    assert_eq!(placement.moves(later), [DraftKey(2)]);
+    placement.finish(later, SampleKey(0), RunOutcome::Done);
+    assert_eq!(placement.moves(later), [SampleKey(2)]);
     assert_eq!(placement.moves(later), [], "returned once");
     placement.offer(new_sample(9, 10, 1, 9));
     assert_eq!(
@@ -159,8 +159,8 @@
     let soon = now + Duration::from_millis(500);
     assert_eq!(placement.moves(soon), [], "a short gap is not silence");
     let later = now + Duration::from_secs(1);
-    assert_eq!(placement.moves(later), [DraftKey(0)]);
-    placement.finish(later, DraftKey(0), DraftEnding::Cancelled);
+    assert_eq!(placement.moves(later), [SampleKey(0)]);
+    placement.finish(later, SampleKey(0), RunOutcome::Cancelled);
     placement.offer(new_sample(0, 10, 1, 0));
     let (_, other) = placement.next(later).expect("an engine has a free slot");
     assert_ne!(other, silent_engine, "the silent engine is paused");
@@ -174,7 +174,7 @@
     placement.set_engines(vec![engine(0, 4, 9_000, 1)]);
     (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
     let (first, _) = placement.next(now).expect("an engine has a free slot");
-    placement.finish(now, first, DraftEnding::Refused);
+    placement.finish(now, first, RunOutcome::Refused);
     assert_eq!(placement.next(now), None);
     let retry_at = placement.next_look(now).expect("a paused engine");
     assert!(placement.next(retry_at).is_some());
@@ -195,24 +195,24 @@
         placement.event_patience(2) > first_timeout,
         "grows with each silent engine"
     );
-    (0..2).for_each(|key| placement.note_event(after(100), DraftKey(key)));
+    (0..2).for_each(|key| placement.note_event(after(100), SampleKey(key)));
     assert_eq!(
         placement.moves(after(2_900)),
         [],
         "the event time is not known yet"
     );
     for at_ms in [3_100, 6_100, 9_100] {
-        (0..2).for_each(|key| placement.note_event(after(at_ms), DraftKey(key)));
+        (0..2).for_each(|key| placement.note_event(after(at_ms), SampleKey(key)));
     }
     assert!(placement.event_patience(0) > Duration::from_secs(60));
-    placement.note_event(after(12_100), DraftKey(0));
+    placement.note_event(after(12_100), SampleKey(0));
     assert_eq!(placement.moves(after(14_000)), [], "a normal gap");
     for at_ms in (15_100..=30_100).step_by(3_000) {
-        placement.note_event(after(at_ms), DraftKey(0));
+        placement.note_event(after(at_ms), SampleKey(0));
     }
     assert_eq!(
         placement.moves(after(30_100)),
-        [DraftKey(1)],
+        [SampleKey(1)],
         "seven normal gaps"
     );
 }
@@ -231,7 +231,7 @@
     for event in 1..4 {
         for key in 0..30 {
             let event_at = Duration::from_millis(event * (30 + key % 3 * 20));
-            placement.note_event(now + event_at, DraftKey(key));
+            placement.note_event(now + event_at, SampleKey(key));
         }
     }
     placement
@@ -242,7 +242,7 @@
 fn ranking_places_samples_as_one_by_one() {
     let now = Instant::now();
     let later = now + Duration::from_millis(300);
-    let grouped_sample = |key: u64| Draft {
+    let grouped_sample = |key: u64| SampleRequest {
         group: key % 7,
         ..new_sample(key, 40 + key as u32 % 5 * 90, key % 3, key)
     };
@@ -254,7 +254,7 @@
         alone.offer(grouped_sample(key));
         match alone.next(later) {
             Some((sample, engine)) => expected.push((sample.0, engine.0)),
-            None => alone.cancel(|waiting| waiting == DraftKey(key)),
+            None => alone.cancel(|waiting| waiting == SampleKey(key)),
         }
     }
     assert!(expected.len() >= 20, "{expected:?}");
@@ -271,8 +271,8 @@
     assert_eq!(started(&mut placement, now).len(), 2);
     placement.set_engines(vec![engine(1, 1, 9_000, 1)]);
     let leaving = [UpstreamKey(0)];
-    assert_eq!(placement.moves_from(now, &leaving), [DraftKey(0)]);
-    placement.finish(now, DraftKey(0), DraftEnding::Cancelled);
+    assert_eq!(placement.moves_from(now, &leaving), [SampleKey(0)]);
+    placement.finish(now, SampleKey(0), RunOutcome::Cancelled);
     placement.offer(new_sample(0, 10, 1, 0));
     assert_eq!(started(&mut placement, now), [(0, 1)]);
     assert_eq!(
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::slack::Lengths;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
@@ -204,8 +204,8 @@
         self.lengths
             .note_step(samples.iter().map(|sample| sample.expected_tokens));
         for (key, rank) in Self::keys_of(step).zip(ranks) {
-            self.placement.offer(Draft {
-                key: DraftKey(key as u64),
+            self.placement.offer(SampleRequest {
+                key: SampleKey(key as u64),
                 group: (step * GROUPS + self.samples[key].group) as u64,
                 model: MODEL,
                 min_version: 1,
@@ -258,19 +258,19 @@
             };
             sample.drafted += 1;
             sample.next_event = Some(next + EVENT);
-            self.placement.note_event(next, DraftKey(key as u64));
+            self.placement.note_event(next, SampleKey(key as u64));
             if sample.drafted == sample.length_events {
                 sample.is_done = true;
                 self.lengths
                     .note_ended(sample.hint_tokens, sample.length_events);
-                self.stop(now, key, DraftEnding::Done);
+                self.stop(now, key, RunOutcome::Done);
             }
         }
     }
 
-    fn stop(&mut self, now: Instant, key: usize, ending: DraftEnding) {
+    fn stop(&mut self, now: Instant, key: usize, ending: RunOutcome) {
         if self.samples[key].next_event.take().is_some() {
-            self.placement.finish(now, DraftKey(key as u64), ending);
+            self.placement.finish(now, SampleKey(key as u64), ending);
         }
     }
 
@@ -292,7 +292,7 @@
         self.took_ms[step] = Some(now_ms - accepted.at_ms);
         for key in Self::keys_of(step) {
             self.samples[key].is_done = true;
-            self.stop(now, key, DraftEnding::Cancelled);
+            self.stop(now, key, RunOutcome::Cancelled);
         }
         let samples = &self.samples;
         self.placement
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 
@@ -45,14 +45,14 @@
             let key = pool.next_key();
             pool.start(key, engine, 0);
             pool.run(key, events, event);
-            pool.placement.finish(pool.now, key, DraftEnding::Done);
+            pool.placement.finish(pool.now, key, RunOutcome::Done);
         }
         pool
     }
 
-    fn next_key(&mut self) -> DraftKey {
+    fn next_key(&mut self) -> SampleKey {
         self.last_key += 1;
-        DraftKey(self.last_key)
+        SampleKey(self.last_key)
     }
 
     /// Gives slots to these engines only.
@@ -78,8 +78,8 @@
             .note_load(self.now, UpstreamKey(engine), load);
     }
 
-    fn offer(&mut self, key: DraftKey, drafted: u32) {
-        self.placement.offer(Draft {
+    fn offer(&mut self, key: SampleKey, drafted: u32) {
+        self.placement.offer(SampleRequest {
             key,
             group: key.0,
             model: MODEL,
@@ -90,7 +90,7 @@
         });
     }
 
-    fn start(&mut self, key: DraftKey, engine: u32, drafted: u32) {
+    fn start(&mut self, key: SampleKey, engine: u32, drafted: u32) {
         self.open(&[engine]);
         self.offer(key, drafted);
         let started = self.placement.next(self.now);
@@ -98,7 +98,7 @@
         self.open(&[SLOW, FAST, SLOW_UNREPORTED]);
     }
 
-    fn run(&mut self, key: DraftKey, events: u32, event: Duration) {
+    fn run(&mut self, key: SampleKey, events: u32, event: Duration) {
         for _ in 0..events {
             self.now += event;
             self.placement.note_event(self.now, key);
@@ -106,12 +106,12 @@
     }
 
     /// Starts a sample on the slow engine, moves it to `engine` and runs it there.
-    fn move_to(&mut self, engine: u32) -> DraftKey {
+    fn move_to(&mut self, engine: u32) -> SampleKey {
         let key = self.next_key();
         self.start(key, SLOW, 0);
         self.run(key, 2, SLOW_EVENT);
         assert_eq!(self.placement.moves(self.now), [key]);
-        self.placement.finish(self.now, key, DraftEnding::Cancelled);
+        self.placement.finish(self.now, key, RunOutcome::Cancelled);
         self.start(key, engine, 2);
         self.run(key, 20, SLOW_EVENT);
         key
@@ -168,7 +168,7 @@
     assert_eq!(started, Some((key, UpstreamKey(0))));
     pool.run(key, 4, FAST_EVENT);
     pool.report(1, 250);
-    pool.placement.finish(pool.now, key, DraftEnding::Done);
+    pool.placement.finish(pool.now, key, RunOutcome::Done);
     pool.placement.set_engines(vec![engine(1), engine(2)]);
     pool.now += Duration::from_secs(5);
     let key = pool.next_key();
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::placement::Draft;
-use firweir_policy::placement::DraftEnding;
-use firweir_policy::placement::DraftKey;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
+use firweir_policy::placement::RunOutcome;
+use firweir_policy::placement::SampleKey;
+use firweir_policy::placement::SampleRequest;
 use firweir_policy::route::splitmix64;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
@@ -165,8 +165,8 @@
             21
         };
         let step_ms = key / self.load.samples_per_step * self.load.interval_ms;
-        self.placement.offer(Draft {
-            key: DraftKey(key),
+        self.placement.offer(SampleRequest {
+            key: SampleKey(key),
             group: key / GROUP,
             model: MODEL,
             min_version: 1,
@@ -221,7 +221,7 @@
             let run = self.runs.iter().position(|run| run.key == key.0);
             let run = self.runs.remove(run.expect("a moved sample runs"));
             self.moved_from.push(run.engine);
-            self.placement.finish(now, key, DraftEnding::Cancelled);
+            self.placement.finish(now, key, RunOutcome::Cancelled);
             self.offer(key.0);
         }
     }
@@ -238,12 +238,12 @@
             }
             run.next_event_ms += EVENT_MS / speed(run.engine);
             let key = run.key;
-            self.placement.note_event(now, DraftKey(key));
+            self.placement.note_event(now, SampleKey(key));
             self.remaining[key as usize] -= 1;
             if self.remaining[key as usize] == 0 {
                 self.ended_ms[key as usize] = self.now_ms;
                 self.runs.remove(at);
-                self.placement.finish(now, DraftKey(key), DraftEnding::Done);
+                self.placement.finish(now, SampleKey(key), RunOutcome::Done);
             }
         }
     }
@@ -361,7 +361,7 @@
                 if at_ms == next_ms[sample] {
                     simulation
                         .placement
-                        .note_event(now, DraftKey(sample as u64));
+                        .note_event(now, SampleKey(sample as u64));
                     next_ms[sample] += if is_slow { 125 } else { 50 };
                 }
             }
