--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -422,7 +422,7 @@
             min_version: board.head.min_version,
             tokens: item.prompt_tokens + item.expected_tokens,
             rank: state.jobs[at].order(),
-            drafted: state.jobs[at].progress.events.len() as u32,
+            events_done: state.jobs[at].progress.events.len() as u32,
         });
     }
 
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -45,7 +45,7 @@
         min_version: 1,
         tokens: 2_000,
         rank: key,
-        drafted: 0,
+        events_done: 0,
     }
 }
 
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -46,7 +46,7 @@
     /// Position among waiting samples; the lowest goes first.
     pub rank: u64,
     /// Number of events that its earlier runs have generated.
-    pub drafted: u32,
+    pub events_done: u32,
 }
 
 /// State of one engine, as input to the placement.
@@ -593,7 +593,7 @@
             engine: key,
             started_at: now,
             last_event: None,
-            events: sample.drafted,
+            events: sample.events_done,
             is_leaving: false,
         };
         self.running.insert(position, running);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -31,7 +31,7 @@
         min_version,
         tokens,
         rank,
-        drafted: 0,
+        events_done: 0,
     }
 }
 
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -211,7 +211,7 @@
                 min_version: 1,
                 tokens: 100,
                 rank,
-                drafted: 0,
+                events_done: 0,
             });
         }
         if self.order == Order::Slack {
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -78,7 +78,7 @@
             .note_load(self.now, UpstreamKey(engine), load);
     }
 
-    fn offer(&mut self, key: SampleKey, drafted: u32) {
+    fn offer(&mut self, key: SampleKey, events_done: u32) {
         self.placement.offer(SampleRequest {
             key,
             group: key.0,
@@ -86,13 +86,13 @@
             min_version: 1,
             tokens: 200,
             rank: 0,
-            drafted,
+            events_done,
         });
     }
 
-    fn start(&mut self, key: SampleKey, engine: u32, drafted: u32) {
+    fn start(&mut self, key: SampleKey, engine: u32, events_done: u32) {
         self.open(&[engine]);
-        self.offer(key, drafted);
+        self.offer(key, events_done);
         let started = self.placement.next(self.now);
         assert_eq!(started, Some((key, UpstreamKey(engine))));
         self.open(&[SLOW, FAST, SLOW_UNREPORTED]);
@@ -137,10 +137,10 @@
 /// Guards against forgetting the length of a sample when it moves to another engine.
 #[test]
 fn events_of_earlier_runs_count() {
-    for (drafted, is_moved) in [(0, false), (40, true)] {
+    for (events_done, is_moved) in [(0, false), (40, true)] {
         let mut pool = Pool::warmed_up(4);
         let key = pool.next_key();
-        pool.start(key, SLOW, drafted);
+        pool.start(key, SLOW, events_done);
         pool.run(key, 2, SLOW_EVENT);
         assert_eq!(!pool.placement.moves(pool.now).is_empty(), is_moved);
     }
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -172,7 +172,7 @@
             min_version: 1,
             tokens: 200,
             rank: step_ms << 20 | (1_000 - hinted_events),
-            drafted: (self.events[key as usize] - self.remaining[key as usize]) as u32,
+            events_done: (self.events[key as usize] - self.remaining[key as usize]) as u32,
         });
     }
 
