--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -420,7 +420,7 @@
             group: xxh3_64(item.group.as_bytes()),
             model,
             min_version: board.head.min_version,
-            tokens: item.prompt_tokens + item.expected_tokens,
+            peak_tokens: item.prompt_tokens + item.expected_tokens,
             rank: state.jobs[at].order(),
             events_done: state.jobs[at].progress.events.len() as u32,
         });
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -43,7 +43,7 @@
         group: key / 16,
         model: MODEL,
         min_version: 1,
-        tokens: 2_000,
+        peak_tokens: 2_000,
         rank: key,
         events_done: 0,
     }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -42,7 +42,7 @@
     /// Oldest version of the weights that may generate it.
     pub min_version: u64,
     /// KV-cache tokens that it is expected to hold at its end.
-    pub tokens: u32,
+    pub peak_tokens: u32,
     /// Position among waiting samples; the lowest goes first.
     pub rank: u64,
     /// Number of events that its earlier runs have generated.
@@ -313,7 +313,9 @@
         };
         let engine = &mut self.engines[at];
         engine.in_flight = engine.in_flight.saturating_sub(1);
-        engine.tokens = engine.tokens.saturating_sub(u64::from(ended.sample.tokens));
+        engine.tokens = engine
+            .tokens
+            .saturating_sub(u64::from(ended.sample.peak_tokens));
         if outcome == RunOutcome::Done {
             self.event_counts.learn(ended.events);
         }
@@ -583,7 +585,7 @@
     fn start(&mut self, now: Instant, sample: SampleRequest, at: usize) {
         let engine = &mut self.engines[at];
         engine.in_flight += 1;
-        engine.tokens += u64::from(sample.tokens);
+        engine.tokens += u64::from(sample.peak_tokens);
         let key = engine.state.key;
         let position = self
             .running
@@ -744,7 +746,7 @@
     const fn requires_at_least(&self, other: &Self) -> bool {
         self.model.0 == other.model.0
             && self.min_version >= other.min_version
-            && self.tokens >= other.tokens
+            && self.peak_tokens >= other.peak_tokens
     }
 }
 
@@ -790,7 +792,7 @@
 
     /// Whether its memory and its weights suffice for the sample.
     fn fits(&self, sample: &SampleRequest) -> bool {
-        let tokens = self.tokens + u64::from(sample.tokens);
+        let tokens = self.tokens + u64::from(sample.peak_tokens);
         // A sample larger than the whole memory is admitted alone: the engine decides whether to
         // run it.
         let fits_in_memory = tokens <= self.state.memory_tokens || self.in_flight == 0;
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -23,13 +23,13 @@
     }
 }
 
-fn new_sample(key: u64, tokens: u32, min_version: u64, rank: u64) -> SampleRequest {
+fn new_sample(key: u64, peak_tokens: u32, min_version: u64, rank: u64) -> SampleRequest {
     SampleRequest {
         key: SampleKey(key),
         group: key,
         model: MODEL,
         min_version,
-        tokens,
+        peak_tokens,
         rank,
         events_done: 0,
     }
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -209,7 +209,7 @@
                 group: (step * GROUPS + self.samples[key].group) as u64,
                 model: MODEL,
                 min_version: 1,
-                tokens: 100,
+                peak_tokens: 100,
                 rank,
                 events_done: 0,
             });
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -84,7 +84,7 @@
             group: key.0,
             model: MODEL,
             min_version: 1,
-            tokens: 200,
+            peak_tokens: 200,
             rank: 0,
             events_done,
         });
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -170,7 +170,7 @@
             group: key / GROUP,
             model: MODEL,
             min_version: 1,
-            tokens: 200,
+            peak_tokens: 200,
             rank: step_ms << 20 | (1_000 - hinted_events),
             events_done: (self.events[key as usize] - self.remaining[key as usize]) as u32,
         });
