--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -304,7 +304,7 @@
         }
         let latest = now + LOOK_EVERY;
         let engines = state.engines_after.filter(|after| *after > now);
-        let looks = [state.placement.next_look(now), engines];
+        let looks = [state.placement.next_retry_at(now), engines];
         let look = looks.into_iter().flatten().min();
         tokio::time::Instant::from_std(look.unwrap_or(latest).min(latest))
     }
@@ -415,7 +415,7 @@
         };
         let item = &board.items[place];
         let model = state.model_key(&target.service, &board.head.model);
-        state.placement.offer(SampleRequest {
+        state.placement.enqueue(SampleRequest {
             key,
             group: xxh3_64(item.group.as_bytes()),
             model,
@@ -486,7 +486,7 @@
         };
         let job = &mut state.jobs[at];
         let (board, place) = (Arc::clone(&job.board), job.place);
-        let patience = state.placement.event_patience(job.silences);
+        let patience = state.placement.event_timeout(job.silences);
         let reached = Reached {
             event: job.progress.last_event,
             versions: job.progress.versions.clone(),
@@ -671,7 +671,7 @@
     fn take_event(&self, key: SampleKey, event: StreamEvent, version: u64) {
         let now = self.shared.clock.now();
         let mut state = self.lock();
-        state.placement.note_event(now, key);
+        state.placement.record_event(now, key);
         // No job: the submission has ended meanwhile.
         if let Some(at) = state.job_at(key) {
             state.jobs[at].progress.add(event, version);
@@ -686,7 +686,7 @@
         let now = self.shared.clock.now();
         let mut state = self.lock();
         let key = state.key_of(engine);
-        state.placement.note_load(now, key, load);
+        state.placement.record_load(now, key, load);
     }
 
     /// Texts of a submission's unfinished samples behind what was saved of them before;
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -87,7 +87,7 @@
             return;
         }
         state.ordered_after = Some(now + LOOK_EVERY);
-        let event = state.placement.usual_event();
+        let event = state.placement.median_event_time();
         let State { jobs, lengths, .. } = state;
         // Jobs of one step are adjacent.
         for step in jobs.chunk_by_mut(|a, b| Arc::ptr_eq(&a.board, &b.board)) {
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -54,12 +54,12 @@
     let mut placement = Placement::default();
     placement.set_engines((0..engines).map(engine).collect());
     for key in 0..160 {
-        placement.offer(new_sample(key));
+        placement.enqueue(new_sample(key));
     }
     while placement.next(now).is_some() {}
     for event in 1..4 {
         for key in 0..160 {
-            placement.note_event(now + Duration::from_millis(40 * event), SampleKey(key));
+            placement.record_event(now + Duration::from_millis(40 * event), SampleKey(key));
         }
     }
     placement
@@ -74,7 +74,7 @@
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 at += Duration::from_micros(250);
-                placement.note_event(black_box(at), SampleKey(7));
+                placement.record_event(black_box(at), SampleKey(7));
             });
         });
     }
@@ -90,7 +90,7 @@
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 key += 1;
-                placement.offer(new_sample(key));
+                placement.enqueue(new_sample(key));
                 black_box(placement.next(now));
                 placement.finish(now, SampleKey(key), RunOutcome::Done);
             });
@@ -112,7 +112,7 @@
                 let step = key..key + 224;
                 key += 224;
                 step.clone()
-                    .for_each(|key| placement.offer(new_sample(key)));
+                    .for_each(|key| placement.enqueue(new_sample(key)));
                 while placement.next(now).is_some() {}
                 step.for_each(|key| placement.finish(now, SampleKey(key), RunOutcome::Done));
                 placement.cancel(|_| true);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -269,7 +269,7 @@
     }
 
     /// Adds a sample to the waiting ones.
-    pub fn offer(&mut self, sample: SampleRequest) {
+    pub fn enqueue(&mut self, sample: SampleRequest) {
         let order = (sample.rank, sample.key);
         let at = self
             .waiting
@@ -294,7 +294,7 @@
 
     /// Median time per event across engines; `None` until one is known.
     #[must_use]
-    pub fn usual_event(&self) -> Option<Duration> {
+    pub fn median_event_time(&self) -> Option<Duration> {
         self.event_times.median_s.map(Duration::from_secs_f64)
     }
 
@@ -371,20 +371,20 @@
     }
 
     /// Records the load that an engine reports.
-    pub fn note_load(&mut self, now: Instant, engine: UpstreamKey, reported: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, engine: UpstreamKey, reported: ToldLoad) {
         let Some(at) = self.engine_index(engine) else {
             return;
         };
         self.engines[at].reported = Some((reported, now));
         if let Some(percent) = reported.time_percent {
-            self.engines[at].note_speed(now, percent);
+            self.engines[at].record_speed(now, percent);
             self.engines[at].update_delay(now, self.event_counts.mean(), self.event_times.median_s);
             self.ranked_at = None;
         }
     }
 
     /// Records that a running sample has generated an event.
-    pub fn note_event(&mut self, now: Instant, key: SampleKey) {
+    pub fn record_event(&mut self, now: Instant, key: SampleKey) {
         let median_s = self.median_event_s(now);
         let Ok(at) = self
             .running
@@ -557,7 +557,7 @@
     /// How long a sample waits for its next event, given the number of engines that sent it
     /// nothing.
     #[must_use]
-    pub fn event_patience(&self, silent_engines: u32) -> Duration {
+    pub fn event_timeout(&self, silent_engines: u32) -> Duration {
         let median = Duration::from_secs_f64(self.event_times.median_s.unwrap_or_default());
         let timeout = median.mul_f64(EVENT_TIMEOUT_FACTOR).max(MIN_EVENT_TIMEOUT);
         timeout * 2_u32.pow(silent_engines.min(MAX_TIMEOUT_DOUBLINGS))
@@ -571,7 +571,7 @@
 
     /// Earliest time at which a paused engine may be tried again.
     #[must_use]
-    pub fn next_look(&self, now: Instant) -> Option<Instant> {
+    pub fn next_retry_at(&self, now: Instant) -> Option<Instant> {
         let paused = self.engines.iter().filter_map(|engine| engine.paused_until);
         paused.filter(|until| *until > now).min()
     }
@@ -841,7 +841,7 @@
     }
 
     /// Records how long work takes on its VM at the moment, in percent of the usual time.
-    fn note_speed(&mut self, now: Instant, percent: u32) {
+    fn record_speed(&mut self, now: Instant, percent: u32) {
         let speed = self
             .speed
             .get_or_insert(Speed::from_mean(self.mean_event_s));
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -92,7 +92,7 @@
         placement.set_engines(case.engines);
         case.samples
             .into_iter()
-            .for_each(|sample| placement.offer(sample));
+            .for_each(|sample| placement.enqueue(sample));
         let started = started(&mut placement, Instant::now());
         let keys: Vec<u64> = started.iter().map(|(key, _)| *key).collect();
         assert_eq!(keys, case.expected, "{}", case.name);
@@ -104,7 +104,7 @@
     for at_ms in 0..until_ms {
         for (key, gap_ms) in gaps_ms {
             if at_ms % gap_ms == 0 {
-                placement.note_event(from + Duration::from_millis(at_ms), SampleKey(*key));
+                placement.record_event(from + Duration::from_millis(at_ms), SampleKey(*key));
             }
         }
     }
@@ -117,7 +117,7 @@
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..3).map(|key| engine(key, 1, 9_000, 1)).collect());
-    (0..3).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    (0..3).for_each(|key| placement.enqueue(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 3);
     record_events(&mut placement, now, &[(0, 40), (1, 40), (2, 120)], 1_000);
     let later = now + Duration::from_secs(1);
@@ -125,7 +125,7 @@
     placement.finish(later, SampleKey(0), RunOutcome::Done);
     assert_eq!(placement.moves(later), [SampleKey(2)]);
     assert_eq!(placement.moves(later), [], "returned once");
-    placement.offer(new_sample(9, 10, 1, 9));
+    placement.enqueue(new_sample(9, 10, 1, 9));
     assert_eq!(
         placement.moves(later),
         [],
@@ -141,7 +141,7 @@
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..2).map(|key| engine(key, 2, 9_000, 1)).collect());
-    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.enqueue(new_sample(key, 10, 1, key)));
     started(&mut placement, now);
     record_events(&mut placement, now, &[(0, 40), (1, 50)], 3_000);
     assert_eq!(placement.moves(now + Duration::from_secs(3)), []);
@@ -153,7 +153,7 @@
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines((0..2).map(|key| engine(key, 4, 9_000, 1)).collect());
-    placement.offer(new_sample(0, 10, 1, 0));
+    placement.enqueue(new_sample(0, 10, 1, 0));
     let (_, silent_engine) = placement.next(now).expect("an engine has a free slot");
     record_events(&mut placement, now, &[(0, 40)], 400);
     let soon = now + Duration::from_millis(500);
@@ -161,7 +161,7 @@
     let later = now + Duration::from_secs(1);
     assert_eq!(placement.moves(later), [SampleKey(0)]);
     placement.finish(later, SampleKey(0), RunOutcome::Cancelled);
-    placement.offer(new_sample(0, 10, 1, 0));
+    placement.enqueue(new_sample(0, 10, 1, 0));
     let (_, other) = placement.next(later).expect("an engine has a free slot");
     assert_ne!(other, silent_engine, "the silent engine is paused");
 }
@@ -172,11 +172,11 @@
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines(vec![engine(0, 4, 9_000, 1)]);
-    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.enqueue(new_sample(key, 10, 1, key)));
     let (first, _) = placement.next(now).expect("an engine has a free slot");
     placement.finish(now, first, RunOutcome::Refused);
     assert_eq!(placement.next(now), None);
-    let retry_at = placement.next_look(now).expect("a paused engine");
+    let retry_at = placement.next_retry_at(now).expect("a paused engine");
     assert!(placement.next(retry_at).is_some());
 }
 
@@ -188,27 +188,27 @@
     let after = |ms: u64| now + Duration::from_millis(ms);
     let mut placement = Placement::default();
     placement.set_engines((0..3).map(|key| engine(key, 2, 9_000, 1)).collect());
-    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.enqueue(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 2);
-    let first_timeout = placement.event_patience(0);
+    let first_timeout = placement.event_timeout(0);
     assert!(
-        placement.event_patience(2) > first_timeout,
+        placement.event_timeout(2) > first_timeout,
         "grows with each silent engine"
     );
-    (0..2).for_each(|key| placement.note_event(after(100), SampleKey(key)));
+    (0..2).for_each(|key| placement.record_event(after(100), SampleKey(key)));
     assert_eq!(
         placement.moves(after(2_900)),
         [],
         "the event time is not known yet"
     );
     for at_ms in [3_100, 6_100, 9_100] {
-        (0..2).for_each(|key| placement.note_event(after(at_ms), SampleKey(key)));
+        (0..2).for_each(|key| placement.record_event(after(at_ms), SampleKey(key)));
     }
-    assert!(placement.event_patience(0) > Duration::from_secs(60));
-    placement.note_event(after(12_100), SampleKey(0));
+    assert!(placement.event_timeout(0) > Duration::from_secs(60));
+    placement.record_event(after(12_100), SampleKey(0));
     assert_eq!(placement.moves(after(14_000)), [], "a normal gap");
     for at_ms in (15_100..=30_100).step_by(3_000) {
-        placement.note_event(after(at_ms), SampleKey(0));
+        placement.record_event(after(at_ms), SampleKey(0));
     }
     assert_eq!(
         placement.moves(after(30_100)),
@@ -224,14 +224,14 @@
     let engines = (0..40).map(|key| engine(key, 1 + key % 4, 900, u64::from(key % 3)));
     placement.set_engines(engines.collect());
     for key in 0..30 {
-        placement.offer(new_sample(key, 100, u64::from(key as u32 % 2), key));
+        placement.enqueue(new_sample(key, 100, u64::from(key as u32 % 2), key));
         // Some find no engine with their weights, and wait.
         let _placed = placement.next(now);
     }
     for event in 1..4 {
         for key in 0..30 {
             let event_at = Duration::from_millis(event * (30 + key % 3 * 20));
-            placement.note_event(now + event_at, SampleKey(key));
+            placement.record_event(now + event_at, SampleKey(key));
         }
     }
     placement
@@ -247,11 +247,11 @@
         ..new_sample(key, 40 + key as u32 % 5 * 90, key % 3, key)
     };
     let mut together = mixed_pool(now);
-    (100..160).for_each(|key| together.offer(grouped_sample(key)));
+    (100..160).for_each(|key| together.enqueue(grouped_sample(key)));
     let mut alone = mixed_pool(now);
     let mut expected = Vec::new();
     for key in 100..160 {
-        alone.offer(grouped_sample(key));
+        alone.enqueue(grouped_sample(key));
         match alone.next(later) {
             Some((sample, engine)) => expected.push((sample.0, engine.0)),
             None => alone.cancel(|waiting| waiting == SampleKey(key)),
@@ -267,13 +267,13 @@
     let now = Instant::now();
     let mut placement = Placement::default();
     placement.set_engines(vec![engine(0, 2, 9_000, 1)]);
-    (0..2).for_each(|key| placement.offer(new_sample(key, 10, 1, key)));
+    (0..2).for_each(|key| placement.enqueue(new_sample(key, 10, 1, key)));
     assert_eq!(started(&mut placement, now).len(), 2);
     placement.set_engines(vec![engine(1, 1, 9_000, 1)]);
     let leaving = [UpstreamKey(0)];
     assert_eq!(placement.moves_from(now, &leaving), [SampleKey(0)]);
     placement.finish(now, SampleKey(0), RunOutcome::Cancelled);
-    placement.offer(new_sample(0, 10, 1, 0));
+    placement.enqueue(new_sample(0, 10, 1, 0));
     assert_eq!(started(&mut placement, now), [(0, 1)]);
     assert_eq!(
         placement.moves_from(now, &leaving),
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -204,7 +204,7 @@
         self.lengths
             .note_step(samples.iter().map(|sample| sample.expected_tokens));
         for (key, rank) in Self::keys_of(step).zip(ranks) {
-            self.placement.offer(SampleRequest {
+            self.placement.enqueue(SampleRequest {
                 key: SampleKey(key as u64),
                 group: (step * GROUPS + self.samples[key].group) as u64,
                 model: MODEL,
@@ -242,7 +242,11 @@
                 groups: GROUPS,
                 samples: &samples,
             };
-            let ranks = order_of(&open_step, &self.lengths, self.placement.usual_event());
+            let ranks = order_of(
+                &open_step,
+                &self.lengths,
+                self.placement.median_event_time(),
+            );
             for (key, sample_rank) in open.into_iter().zip(ranks) {
                 new_ranks[key] = Some(sample_rank.rank);
             }
@@ -258,7 +262,7 @@
             };
             sample.drafted += 1;
             sample.next_event = Some(next + EVENT);
-            self.placement.note_event(next, SampleKey(key as u64));
+            self.placement.record_event(next, SampleKey(key as u64));
             if sample.drafted == sample.length_events {
                 sample.is_done = true;
                 self.lengths
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -75,11 +75,11 @@
             time_percent: Some(percent),
         };
         self.placement
-            .note_load(self.now, UpstreamKey(engine), load);
+            .record_load(self.now, UpstreamKey(engine), load);
     }
 
     fn offer(&mut self, key: SampleKey, events_done: u32) {
-        self.placement.offer(SampleRequest {
+        self.placement.enqueue(SampleRequest {
             key,
             group: key.0,
             model: MODEL,
@@ -101,7 +101,7 @@
     fn run(&mut self, key: SampleKey, events: u32, event: Duration) {
         for _ in 0..events {
             self.now += event;
-            self.placement.note_event(self.now, key);
+            self.placement.record_event(self.now, key);
         }
     }
 
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -165,7 +165,7 @@
             21
         };
         let step_ms = key / self.load.samples_per_step * self.load.interval_ms;
-        self.placement.offer(SampleRequest {
+        self.placement.enqueue(SampleRequest {
             key: SampleKey(key),
             group: key / GROUP,
             model: MODEL,
@@ -203,7 +203,7 @@
             time_percent,
         };
         let now = self.now();
-        self.placement.note_load(now, UpstreamKey(engine), load);
+        self.placement.record_load(now, UpstreamKey(engine), load);
     }
 
     fn place(&mut self) {
@@ -238,7 +238,7 @@
             }
             run.next_event_ms += EVENT_MS / speed(run.engine);
             let key = run.key;
-            self.placement.note_event(now, SampleKey(key));
+            self.placement.record_event(now, SampleKey(key));
             self.remaining[key as usize] -= 1;
             if self.remaining[key as usize] == 0 {
                 self.ended_ms[key as usize] = self.now_ms;
@@ -356,12 +356,12 @@
                         time_percent: Some(if is_slow { 250 } else { 100 }),
                     };
                     let engine = UpstreamKey(engines[sample]);
-                    simulation.placement.note_load(now, engine, load);
+                    simulation.placement.record_load(now, engine, load);
                 }
                 if at_ms == next_ms[sample] {
                     simulation
                         .placement
-                        .note_event(now, SampleKey(sample as u64));
+                        .record_event(now, SampleKey(sample as u64));
                     next_ms[sample] += if is_slow { 125 } else { 50 };
                 }
             }
