--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::siting::Candidate;
-use firweir_policy::siting::NodeKey;
-use firweir_policy::siting::Worth;
-use firweir_policy::siting::best_home;
+use firweir_policy::home_selection::Candidate;
+use firweir_policy::home_selection::NodeKey;
+use firweir_policy::home_selection::Worth;
+use firweir_policy::home_selection::best_home;
 use http::HeaderName;
 use http::HeaderValue;
 use serde::Deserialize;
--- a/crates/policy/tests/siting.rs
+++ b/crates/policy/tests/home_selection.rs
@@ -1,8 +1,8 @@
 //! Which node becomes the home of a model.
 
-use firweir_policy::siting::Candidate;
-use firweir_policy::siting::NodeKey;
-use firweir_policy::siting::best_home;
+use firweir_policy::home_selection::Candidate;
+use firweir_policy::home_selection::NodeKey;
+use firweir_policy::home_selection::best_home;
 
 const LARGE: f64 = 1.0;
 const SMALL: f64 = 0.06;
