--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::home_selection::Candidate;
+use firweir_policy::home_selection::HomeCandidate;
+use firweir_policy::home_selection::HomeScore;
 use firweir_policy::home_selection::NodeKey;
-use firweir_policy::home_selection::Worth;
 use firweir_policy::home_selection::best_home;
 use http::HeaderName;
 use http::HeaderValue;
@@ -73,10 +73,10 @@
 impl HomeOffer {
     /// What the home is worth to the model.
     #[must_use]
-    pub const fn worth(&self) -> Worth {
-        Worth {
-            share: self.share,
-            order: self.order,
+    pub const fn worth(&self) -> HomeScore {
+        HomeScore {
+            capacity_share: self.share,
+            tie_breaker: self.order,
         }
     }
 }
@@ -192,8 +192,8 @@
         });
         Some(HomeOffer {
             home,
-            share: worth.share,
-            order: worth.order,
+            share: worth.capacity_share,
+            order: worth.tie_breaker,
         })
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Nodes that take steps; `only` one of them if it is given.
-    fn candidates(&self, settled: &[Settled], only: Option<SocketAddr>) -> Vec<Candidate> {
+    fn candidates(&self, settled: &[Settled], only: Option<SocketAddr>) -> Vec<HomeCandidate> {
         let settled = settled.iter().map(|held| held.address);
         let named = self.named.iter().map(|held| held.address);
         let mut homes: Vec<SocketAddr> = settled.chain(named).collect();
@@ -265,11 +265,11 @@
         });
         let candidate = |(at, heard): (usize, &Heard)| {
             let address = heard.member.runner.address;
-            Candidate {
+            HomeCandidate {
                 node: NodeKey(at as u32),
                 hash: xxh3_64(address.to_string().as_bytes()),
                 capacity: heard.member.capacity,
-                homes: homes_at(address) as u32,
+                models: homes_at(address) as u32,
             }
         };
         usable.map(candidate).collect()
--- a/crates/policy/src/home_selection.rs
+++ b/crates/policy/src/home_selection.rs
@@ -19,7 +19,7 @@
 
 /// A node that could become the home of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidate {
+pub struct HomeCandidate {
     /// Key of the node.
     pub node: NodeKey,
     /// Hash of the node's identity, the same at every node.
@@ -27,44 +27,44 @@
     /// Capacity of its VM, in any unit that is the same for all candidates.
     pub capacity: f64,
     /// Number of models whose home it already is.
-    pub homes: u32,
+    pub models: u32,
 }
 
-impl Candidate {
+impl HomeCandidate {
     /// Capacity that one more model would get.
-    fn share(&self) -> f64 {
-        self.capacity / f64::from(self.homes + 1)
+    fn capacity_share(&self) -> f64 {
+        self.capacity / f64::from(self.models + 1)
     }
 }
 
 /// Score of a node as the home of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Worth {
+pub struct HomeScore {
     /// Capacity of its VM that the model would get.
-    pub share: f64,
+    pub capacity_share: f64,
     /// Breaks ties by the hashes of node and model, so that models that arrive at the same time
     /// go to different nodes.
-    pub order: u64,
+    pub tie_breaker: u64,
 }
 
-impl Worth {
+impl HomeScore {
     /// Compares two candidates for the same model; the greater one is better.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Ordering {
-        let by_share = self.share.total_cmp(&other.share);
-        by_share.then(self.order.cmp(&other.order))
+        let by_share = self.capacity_share.total_cmp(&other.capacity_share);
+        by_share.then(self.tie_breaker.cmp(&other.tie_breaker))
     }
 }
 
 /// Best home for the model with this hash, and its score; `None` without candidates.
 #[must_use]
-pub fn best_home(model: u64, candidates: &[Candidate]) -> Option<(NodeKey, Worth)> {
-    let worth = |candidate: &Candidate| Worth {
-        share: candidate.share(),
-        order: splitmix64(candidate.hash ^ splitmix64(model)),
+pub fn best_home(model: u64, candidates: &[HomeCandidate]) -> Option<(NodeKey, HomeScore)> {
+    let score = |candidate: &HomeCandidate| HomeScore {
+        capacity_share: candidate.capacity_share(),
+        tie_breaker: splitmix64(candidate.hash ^ splitmix64(model)),
     };
     let scored = candidates
         .iter()
-        .map(|candidate| (candidate.node, worth(candidate)));
+        .map(|candidate| (candidate.node, score(candidate)));
     scored.max_by(|(_, a), (_, b)| a.compare(b))
 }
--- a/crates/policy/tests/home_selection.rs
+++ b/crates/policy/tests/home_selection.rs
@@ -1,6 +1,6 @@
 //! Which node becomes the home of a model.
 
-use firweir_policy::home_selection::Candidate;
+use firweir_policy::home_selection::HomeCandidate;
 use firweir_policy::home_selection::NodeKey;
 use firweir_policy::home_selection::best_home;
 
@@ -8,22 +8,22 @@
 const SMALL: f64 = 0.06;
 
 /// Candidates on so many large and small VMs; the large ones come first.
-fn fleet(large: u32, small: u32) -> Vec<Candidate> {
-    let candidate = |node: u32| Candidate {
+fn fleet(large: u32, small: u32) -> Vec<HomeCandidate> {
+    let candidate = |node: u32| HomeCandidate {
         node: NodeKey(node),
         hash: u64::from(node).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         capacity: if node < large { LARGE } else { SMALL },
-        homes: 0,
+        models: 0,
     };
     (0..large + small).map(candidate).collect()
 }
 
 /// Chooses homes for so many models, one after the other.
-fn choose_homes(fleet: &mut [Candidate], models: u64) -> Vec<NodeKey> {
+fn choose_homes(fleet: &mut [HomeCandidate], models: u64) -> Vec<NodeKey> {
     let mut homes = Vec::new();
     for model in 0..models {
         let (home, _) = best_home(model, fleet).expect("there are nodes");
-        fleet[home.0 as usize].homes += 1;
+        fleet[home.0 as usize].models += 1;
         homes.push(home);
     }
     homes
@@ -80,7 +80,7 @@
         let mut fleet = fleet(case.large, case.small);
         choose_homes(&mut fleet, case.models);
         let (large, small) = fleet.split_at(case.large as usize);
-        let most = |held: &[Candidate]| held.iter().map(|node| node.homes).max().unwrap_or(0);
+        let most = |held: &[HomeCandidate]| held.iter().map(|node| node.models).max().unwrap_or(0);
         assert!(most(large) <= case.most_large, "{}: large", case.name);
         assert!(most(small) <= case.most_small, "{}: small", case.name);
     }
