--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use firweir_policy::placement::ModelKey;
-use firweir_policy::pool::Slice;
+use firweir_policy::pool::FleetSlice;
 use firweir_policy::pool::engines_needed;
-use firweir_policy::pool::order_in_pool;
 use firweir_policy::pool::pool_slice;
+use firweir_policy::pool::rendezvous_hash;
 use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::Lag;
 use firweir_policy::weight_loads::Need;
@@ -45,7 +45,7 @@
     /// Newest version that was named.
     named: Option<u64>,
     /// Part of all engines that is looked at for it.
-    slice: Slice,
+    slice: FleetSlice,
 }
 
 /// Engines of the services that rollouts go to.
@@ -68,7 +68,9 @@
     let assigned = assign(&division, &lags(&engines, &models));
     let name_of = |model: ModelKey| Arc::clone(&models[model.0 as usize].name);
     // Where all are looked at, those that no model takes have room for the samples of any.
-    let all = models.iter().all(|model| model.slice == Slice::default());
+    let all = models
+        .iter()
+        .all(|model| model.slice == FleetSlice::default());
     let serving = engines
         .into_iter()
         .zip(assigned)
@@ -122,7 +124,7 @@
             name: Arc::from(name),
             hash: hash_of_name(name),
             named: newest.ok().map(|at| named[at].version),
-            slice: Slice::default(),
+            slice: FleetSlice::default(),
         }
     };
     held_names.into_iter().map(model).collect()
@@ -146,8 +148,8 @@
     for (at, engine) in engines.iter().enumerate() {
         let hash = hash_of_name(&engine.instance.id);
         for (key, model) in models.iter().enumerate() {
-            let order = order_in_pool(hash, model.hash);
-            if !model.slice.has(order) {
+            let order = rendezvous_hash(hash, model.hash);
+            if !model.slice.contains(order) {
                 continue;
             }
             let Some(version) = engine.version_of(&model.name) else {
--- a/crates/node/src/interest.rs
+++ b/crates/node/src/interest.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::pool::Slice;
+use firweir_policy::pool::FleetSlice;
 use firweir_policy::pool::pool_slice;
 use tokio::sync::Notify;
 
@@ -51,7 +51,7 @@
     /// Hash of the model's name.
     pub model: u64,
     /// Its part of all engines.
-    pub slice: Slice,
+    pub slice: FleetSlice,
 }
 
 /// A model that a node drafts.
@@ -75,7 +75,7 @@
 struct Drafted {
     model: DraftedModel,
     at: Instant,
-    slice: Slice,
+    slice: FleetSlice,
 }
 
 #[derive(Debug, Default)]
@@ -234,14 +234,16 @@
     fn choose_slices(&mut self) {
         for held in &mut self.drafted {
             let chosen = pool_slice(self.listed, held.model.engines);
-            if held.slice.zeros > chosen.zeros + 1 || chosen == Slice::default() {
+            if held.slice.leading_zeros > chosen.leading_zeros + 1
+                || chosen == FleetSlice::default()
+            {
                 held.slice = chosen;
             }
         }
     }
 
     fn weigh(&self) -> Wanted {
-        let whole = |held: &Drafted| held.slice == Slice::default();
+        let whole = |held: &Drafted| held.slice == FleetSlice::default();
         if self.follows_store || self.orders || self.drafted.iter().any(whole) {
             return Wanted::All;
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::pool::Slice;
-use firweir_policy::pool::order_in_pool;
+use firweir_policy::pool::FleetSlice;
+use firweir_policy::pool::rendezvous_hash;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -200,7 +200,7 @@
             return since.to_string();
         };
         let services = parts.services.iter().map(|hash| format!(",{hash:x}"));
-        let slice = |held: &ModelSlice| format!(",{:x}:{}", held.model, held.slice.zeros);
+        let slice = |held: &ModelSlice| format!(",{:x}:{}", held.model, held.slice.leading_zeros);
         let slices = parts.slices.iter().map(slice);
         format!("{since};{}", services.chain(slices).collect::<String>())
     }
@@ -217,8 +217,8 @@
             match part.split_once(':') {
                 Some((model, zeros)) => parts.slices.push(ModelSlice {
                     model: u64::from_str_radix(model, 16).ok()?,
-                    slice: Slice {
-                        zeros: zeros.parse().ok()?,
+                    slice: FleetSlice {
+                        leading_zeros: zeros.parse().ok()?,
                     },
                 }),
                 None => parts.services.push(u64::from_str_radix(part, 16).ok()?),
@@ -242,8 +242,8 @@
     /// What of an upstream belongs to them.
     fn part_of(&self, whereabouts: Whereabouts) -> Part {
         let is_in = |held: &ModelSlice| {
-            let order = order_in_pool(whereabouts.engine, held.model);
-            held.slice.has(order)
+            let order = rendezvous_hash(whereabouts.engine, held.model);
+            held.slice.contains(order)
         };
         if self.slices.iter().any(is_in) {
             return Part::Everything;
--- a/crates/node/tests/interest.rs
+++ b/crates/node/tests/interest.rs
@@ -13,7 +13,7 @@
 use firweir_node::model::RouteKind;
 use firweir_node::model::Target;
 use firweir_node::relay::hash_of_name;
-use firweir_policy::pool::Slice;
+use firweir_policy::pool::FleetSlice;
 
 fn route(kind: RouteKind, service: &str) -> Route {
     Route {
@@ -50,7 +50,9 @@
 fn parts(slices: &[(u64, u32)]) -> Wanted {
     let slice = |(model, zeros): &(u64, u32)| ModelSlice {
         model: *model,
-        slice: Slice { zeros: *zeros },
+        slice: FleetSlice {
+            leading_zeros: *zeros,
+        },
     };
     Wanted::Parts(Parts {
         services: vec![hash_of_name("cards")],
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -30,39 +30,39 @@
 /// Slice of a fleet of so many engines in which all engine sets of a model are searched, each
 /// with `engines_per_version` engines.
 #[must_use]
-pub const fn pool_slice(engines: usize, engines_per_version: usize) -> Slice {
-    Slice::of(engines, SETS * engines_per_version)
+pub const fn pool_slice(engines: usize, engines_per_version: usize) -> FleetSlice {
+    FleetSlice::for_pool(engines, SETS * engines_per_version)
 }
 
 /// Position of an engine in the order of a model's engines, from the hashes of their names.
 #[must_use]
-pub const fn order_in_pool(engine: u64, model: u64) -> u64 {
+pub const fn rendezvous_hash(engine: u64, model: u64) -> u64 {
     splitmix64(engine ^ splitmix64(model))
 }
 
 /// Beginning of a model's order of engines: all engines whose position has at least so many
 /// leading zero bits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Slice {
+pub struct FleetSlice {
     /// Number of leading zero bits; 0 for the whole fleet.
-    pub zeros: u32,
+    pub leading_zeros: u32,
 }
 
-impl Slice {
+impl FleetSlice {
     /// Slice of a fleet of so many engines in which a pool of `needed` engines is searched.
     #[must_use]
-    pub const fn of(engines: usize, needed: usize) -> Self {
+    pub const fn for_pool(engines: usize, needed: usize) -> Self {
         let searched = SEARCHED_PER_NEEDED * if needed == 0 { 1 } else { needed };
-        let zeros = match (engines / searched).checked_ilog2() {
+        let leading_zeros = match (engines / searched).checked_ilog2() {
             Some(halvings) => halvings,
             None => 0,
         };
-        Self { zeros }
+        Self { leading_zeros }
     }
 
     /// Whether an engine at this position belongs to the slice.
     #[must_use]
-    pub const fn has(self, order: u64) -> bool {
-        order.leading_zeros() >= self.zeros
+    pub const fn contains(self, order: u64) -> bool {
+        order.leading_zeros() >= self.leading_zeros
     }
 }
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -31,7 +31,7 @@
     pub engine: usize,
     /// The model.
     pub model: ModelKey,
-    /// Position of the engine in the model's order ([`crate::pool::order_in_pool`]).
+    /// Position of the engine in the model's order ([`crate::pool::rendezvous_hash`]).
     pub order: u64,
     /// Number of versions.
     pub behind: u64,
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use firweir_policy::placement::ModelKey;
-use firweir_policy::pool::order_in_pool;
+use firweir_policy::pool::rendezvous_hash;
 use firweir_policy::step_order::Sample;
 use firweir_policy::step_order::ranks;
 use firweir_policy::weight_loads::Division;
@@ -95,7 +95,7 @@
         .flat_map(|(at, engine)| {
             let lag = |model| Lag {
                 engine: at,
-                order: order_in_pool(*engine as u64, u64::from(model)),
+                order: rendezvous_hash(*engine as u64, u64::from(model)),
                 model: ModelKey(model),
                 behind: behind(*engine, model),
             };
