--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -25,7 +25,7 @@
 use crate::model::ItemState;
 use crate::model::ModelVersion;
 use crate::model::Upstream;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 use crate::submission::texts::KeptTexts;
 use crate::submission::texts::Progress;
 
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -18,7 +18,7 @@
 use crate::model::Item;
 use crate::model::Upstream;
 use crate::shared::Shared;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 
 /// A first event may take this much longer than a next one: the prompt is read first, and
 /// the engine may have a queue.
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -48,7 +48,7 @@
 use crate::scoring::Scored;
 use crate::scoring::Scoring;
 use crate::shared::Shared;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 use crate::submission::records::Head;
 use crate::submission::records::TextPiece;
 use crate::submission::texts::SavedText;
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -21,7 +21,7 @@
 use crate::model::Config;
 use crate::model::RouteKind;
 use crate::model::Upstream;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 
 /// Whether a service with rollouts has engines that hold two or more models.
 #[must_use]
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -33,7 +33,7 @@
 use crate::model::Score;
 use crate::model::Upstream;
 use crate::shared::Shared;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 
 /// Pause before a call that did not run, or broke off, is sent again: a full service
 /// frees a place in a tenth of a second, and a restart takes seconds.
--- a/crates/node/src/submission/elsewhere.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -18,10 +18,10 @@
 use crate::respond::empty;
 use crate::respond::refusal;
 use crate::respond::with_json;
-use crate::submission::desk::Asker;
-use crate::submission::desk::Desk;
-use crate::submission::desk::RETRY_AFTER;
 use crate::submission::heads::Known;
+use crate::submission::manager::Asker;
+use crate::submission::manager::Desk;
+use crate::submission::manager::RETRY_AFTER;
 
 /// Least time between reads of a head for questions that other nodes forwarded by mistake: a
 /// client asks twice a second, and each read is a charged call.
--- a/crates/node/src/submission/desk.rs
+++ b/crates/node/src/submission/manager.rs
@@ -44,15 +44,15 @@
 use crate::respond::refusal;
 use crate::respond::with_json;
 use crate::store::Store;
-use crate::submission::board::Board;
-use crate::submission::finder::Finder;
 use crate::submission::heads::Heads;
 use crate::submission::heads::Known;
+use crate::submission::home_finder::Finder;
 use crate::submission::homes::Homes;
+use crate::submission::local::Board;
 use crate::submission::records::Head;
 use crate::submission::records::Runner;
 use crate::submission::runners::Runners;
-use crate::submission::saver::Saver;
+use crate::submission::text_saver::Saver;
 
 /// When a client may retry a question that this node could not have answered.
 pub(in crate::submission) const RETRY_AFTER: Duration = Duration::from_millis(250);
--- a/crates/node/src/submission/mod.rs
+++ b/crates/node/src/submission/mod.rs
@@ -3,29 +3,29 @@
 //! reads of them.
 //!
 //! - [`records`]: the records in the store.
-//! - [`board`]: a submission that this node runs, and its result log.
+//! - [`local`]: a submission that this node runs, and its result log.
 //! - [`homes`]: home nodes, which accept and run the submissions of a model.
-//! - [`finder`]: finds a home node.
+//! - [`home_finder`]: finds a home node.
 //! - [`texts`]: generated texts, and a cache of them for later steps.
-//! - [`saver`]: saves texts of unfinished samples for the next runner.
+//! - [`text_saver`]: saves texts of unfinished samples for the next runner.
 //! - [`head_view`]: when a runner last confirmed that it still runs a submission.
 //! - [`heads`]: cache of submission heads, and changes of them.
 //! - [`runners`]: calls to other nodes that run submissions.
-//! - [`desk`]: runs submissions and answers questions about them.
-//! - [`elsewhere`]: forwards questions to other nodes, and takes over submissions.
+//! - [`manager`]: runs submissions and answers questions about them.
+//! - [`forwarding`]: forwards questions to other nodes, and takes over submissions.
 //! - [`accept`]: accepts submissions.
 //! - [`removal`]: removes ended submissions.
 
 pub mod accept;
-pub mod board;
-pub mod desk;
-mod elsewhere;
-pub mod finder;
+mod forwarding;
 pub mod head_view;
 pub mod heads;
+pub mod home_finder;
 pub mod homes;
+pub mod local;
+pub mod manager;
 pub mod records;
 pub mod removal;
 pub mod runners;
-pub mod saver;
+pub mod text_saver;
 pub mod texts;
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -5,8 +5,8 @@
 
 use crate::dialect::Kind;
 use crate::dialect::StoreError;
-use crate::submission::board::Board;
-use crate::submission::desk::Desk;
+use crate::submission::local::Board;
+use crate::submission::manager::Desk;
 use crate::submission::records::numbered;
 
 /// Interval at which a submission is checked for removal, and a failed removal is retried.
--- a/crates/node/src/submission/saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -20,7 +20,7 @@
 use crate::drafting::Drafting;
 use crate::store::Created;
 use crate::store::Store;
-use crate::submission::board::Board;
+use crate::submission::local::Board;
 use crate::submission::records::UnfinishedTexts;
 use crate::submission::records::cut;
 use crate::submission::records::numbered;
