--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -25,7 +25,7 @@
 use crate::model::ItemState;
 use crate::model::ModelVersion;
 use crate::model::Upstream;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 use crate::submission::texts::KeptTexts;
 use crate::submission::texts::Progress;
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) key: SampleKey,
-    pub(crate) board: Arc<Board>,
+    pub(crate) submission: Arc<LocalSubmission>,
     pub(crate) place: usize,
     /// Lowest first among those that wait.
     pub(crate) rank: u64,
@@ -151,10 +151,10 @@
 }
 
 /// Group index of each sample of a submission; groups are numbered in the trainer's order.
-pub(crate) fn groups_of(board: &Board) -> Vec<usize> {
+pub(crate) fn groups_of(submission: &LocalSubmission) -> Vec<usize> {
     let mut groups: Vec<&str> = Vec::new();
     let mut numbers = Vec::new();
-    for item in &board.items {
+    for item in &submission.items {
         // Items of one group stand together, so the last ones are looked at first.
         let group = groups.iter().rposition(|group| *group == item.group);
         numbers.push(group.unwrap_or_else(|| {
@@ -166,17 +166,21 @@
 }
 
 /// Ranks of a submission's samples; all alike unless the longest go first.
-pub(crate) fn ranks_of(board: &Board, groups: &[usize], long_first: bool) -> Vec<u64> {
+pub(crate) fn ranks_of(
+    submission: &LocalSubmission,
+    groups: &[usize],
+    long_first: bool,
+) -> Vec<u64> {
     if !long_first {
-        return vec![board.head.accepted_ms; board.items.len()];
+        return vec![submission.head.accepted_ms; submission.items.len()];
     }
     let sample = |(item, group): (&Arc<Item>, &usize)| Sample {
         group: *group,
         expected_tokens: item.expected_tokens,
     };
-    let samples: Vec<Sample> = board.items.iter().zip(groups).map(sample).collect();
-    let target = board.head.target_groups as usize;
-    ranks(&samples, target, board.head.accepted_ms)
+    let samples: Vec<Sample> = submission.items.iter().zip(groups).map(sample).collect();
+    let target = submission.head.target_groups as usize;
+    ranks(&samples, target, submission.head.accepted_ms)
 }
 
 impl Job {
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -18,7 +18,7 @@
 use crate::model::Item;
 use crate::model::Upstream;
 use crate::shared::Shared;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 
 /// A first event may take this much longer than a next one: the prompt is read first, and
 /// the engine may have a queue.
@@ -66,7 +66,7 @@
     pub(crate) take_event: &'a (dyn Fn(StreamEvent, u64) + Send + Sync),
     /// Takes the load that the engine reports in the head of its answer.
     pub(crate) take_load: &'a (dyn Fn(ToldLoad) + Send + Sync),
-    pub(crate) board: &'a Board,
+    pub(crate) submission: &'a LocalSubmission,
     pub(crate) item: &'a Item,
     pub(crate) upstream: &'a Upstream,
     /// A first event has come.
@@ -90,18 +90,18 @@
     pub(crate) async fn attempt(&mut self, reached: &mut Reached) -> Attempt {
         let limits = self.shared.settings.now().head_limits();
         let clock = &*self.shared.boot_clock;
-        let is_over = || !self.board.is_running();
-        let young = self.board.view.await_young(clock, &limits, is_over);
+        let is_over = || !self.submission.is_running();
+        let young = self.submission.view.await_young(clock, &limits, is_over);
         young.await;
         if is_over() {
             return Attempt::Moved;
         }
         let draft = DraftRequest {
             item: self.item,
-            host: &self.board.head.host,
+            host: &self.submission.head.host,
             upstream: self.upstream,
             after_event: reached.event,
-            account: self.board.head.account.as_deref(),
+            account: self.submission.head.account.as_deref(),
         };
         let request = match self.shared.dialect.draft_request(&draft) {
             Ok(request) => request,
@@ -209,10 +209,10 @@
         if event.number != reached.event + 1 {
             return Err(Attempt::Broken("event-out-of-order"));
         }
-        if version < self.board.head.min_version {
+        if version < self.submission.head.min_version {
             return Err(Attempt::TooOld);
         }
-        let head = &self.board.head;
+        let head = &self.submission.head;
         let config = self.shared.fleet.config();
         let route = config.route(&head.host, &head.path);
         let single = route.is_some_and(|route| route.single_version);
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -48,7 +48,7 @@
 use crate::scoring::Scored;
 use crate::scoring::Scoring;
 use crate::shared::Shared;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 use crate::submission::records::Head;
 use crate::submission::records::TextPiece;
 use crate::submission::texts::SavedText;
@@ -85,15 +85,15 @@
     }
 
     /// Drafts all items of a submission that have no result yet.
-    pub fn add(&self, board: &Arc<Board>) {
+    pub fn add(&self, submission: &Arc<LocalSubmission>) {
         let long_first = self.shared.off.leaves(Mechanism::LongFirst);
-        let groups = groups_of(board);
-        let ranks = ranks_of(board, &groups, long_first);
+        let groups = groups_of(submission);
+        let ranks = ranks_of(submission, &groups, long_first);
         let mut state = self.lock();
-        note_step(&mut state, board);
+        note_step(&mut state, submission);
         for (place, rank) in ranks.into_iter().enumerate() {
-            if board.is_open(place) {
-                self.add_item(&mut state, board, place, rank, &groups);
+            if submission.is_open(place) {
+                self.add_item(&mut state, submission, place, rank, &groups);
             }
         }
         self.count_models(&mut state);
@@ -107,9 +107,9 @@
         let mut drafted: Vec<DraftedModel> = Vec::new();
         let mut before = None;
         for job in &state.jobs {
-            let head = &job.board.head;
+            let head = &job.submission.head;
             // Samples of one step stand together.
-            if before.replace(&job.board.id) == Some(&job.board.id) {
+            if before.replace(&job.submission.id) == Some(&job.submission.id) {
                 continue;
             }
             let route = config.route(&head.host, &head.path);
@@ -133,16 +133,16 @@
     fn add_item(
         &self,
         state: &mut State,
-        board: &Arc<Board>,
+        submission: &Arc<LocalSubmission>,
         place: usize,
         rank: u64,
         groups: &[usize],
     ) {
-        let item = &board.items[place];
-        let kept = state.kept.take(&item.id, board.head.min_version);
+        let item = &submission.items[place];
+        let kept = state.kept.take(&item.id, submission.head.min_version);
         let kept = kept.map(|kept| kept.progress);
         if let Some(progress) = kept.as_ref().filter(|kept| is_done(item, kept)) {
-            board.note(self.shared.clock.now(), completed(item, progress));
+            submission.note(self.shared.clock.now(), completed(item, progress));
             // It may come yet again.
             state.kept.keep(&item.id, progress.clone());
             return;
@@ -150,12 +150,12 @@
         // A whole text goes first, then what is saved: what is saved later has to follow
         // from it.
         let whole = kept.as_ref().filter(|kept| kept.whole).cloned();
-        let progress = whole.or_else(|| board.saved_text(&item.id)).or(kept);
+        let progress = whole.or_else(|| submission.saved_text(&item.id)).or(kept);
         let key = SampleKey(state.next_draft);
         state.next_draft += 1;
         state.jobs.push(Job {
             key,
-            board: Arc::clone(board),
+            submission: Arc::clone(submission),
             place,
             rank,
             group: groups[place],
@@ -184,18 +184,18 @@
             return self.offer(state, key);
         }
         let job = &mut state.jobs[at];
-        let item = Arc::clone(&job.board.items[job.place]);
+        let item = Arc::clone(&job.submission.items[job.place]);
         let Some(call) = item.reward_call.clone() else {
             return self.complete(state, at);
         };
         job.running = true;
         // A run that ended as it was told to leave has left that word unread.
         job.leave = Arc::default();
-        let (board, leave) = (Arc::clone(&job.board), Arc::clone(&job.leave));
+        let (submission, leave) = (Arc::clone(&job.submission), Arc::clone(&job.leave));
         let drafting = self.clone();
         drop(tokio::spawn(async move {
             let scored = tokio::select! {
-                scored = drafting.scoring.score(&board, &item, &call) => scored,
+                scored = drafting.scoring.score(&submission, &item, &call) => scored,
                 // No one wants it any more.
                 () = leave.notified() => return,
             };
@@ -237,7 +237,7 @@
         let state = &mut *guard;
         let (gone, kept) = std::mem::take(&mut state.jobs)
             .into_iter()
-            .partition(|job| job.board.id == submission);
+            .partition(|job| job.submission.id == submission);
         state.jobs = kept;
         let gone: Vec<Job> = gone;
         let is_gone = |key: SampleKey| gone.binary_search_by_key(&key, |job| job.key).is_ok();
@@ -247,7 +247,7 @@
                 job.leave.notify_one();
             }
             self.count_discarded(state, &job);
-            let item = &job.board.items[job.place];
+            let item = &job.submission.items[job.place];
             state.kept.keep(&item.id, job.progress);
         }
         self.count_models(&mut guard);
@@ -402,10 +402,10 @@
         let Some(at) = state.job_at(key) else {
             return;
         };
-        let board = Arc::clone(&state.jobs[at].board);
+        let submission = Arc::clone(&state.jobs[at].submission);
         let place = state.jobs[at].place;
         let config = self.shared.fleet.config();
-        let route = config.route(&board.head.host, &board.head.path);
+        let route = config.route(&submission.head.host, &submission.head.path);
         let Some(target) = route.and_then(|route| route.targets.first()) else {
             // Without a configuration nothing is known of routes.
             if config.version > 0 {
@@ -413,13 +413,13 @@
             }
             return;
         };
-        let item = &board.items[place];
-        let model = state.model_key(&target.service, &board.head.model);
+        let item = &submission.items[place];
+        let model = state.model_key(&target.service, &submission.head.model);
         state.placement.enqueue(SampleRequest {
             key,
             group: xxh3_64(item.group.as_bytes()),
             model,
-            min_version: board.head.min_version,
+            min_version: submission.head.min_version,
             peak_tokens: item.prompt_tokens + item.expected_tokens,
             rank: state.jobs[at].order(),
             events_done: state.jobs[at].progress.events.len() as u32,
@@ -432,11 +432,11 @@
         };
         let job = state.jobs.remove(at);
         self.count_discarded(state, &job);
-        let item = &job.board.items[job.place];
+        let item = &job.submission.items[job.place];
         self.shared.journal.event(
             "item_abandoned",
             &[
-                ("submission", &job.board.id),
+                ("submission", &job.submission.id),
                 ("item", &item.id),
                 ("reason", &reason),
                 ("failures", &job.progress.failures),
@@ -449,7 +449,7 @@
             versions: Vec::new(),
             score: None,
         };
-        job.board.note(self.shared.clock.now(), result);
+        job.submission.note(self.shared.clock.now(), result);
     }
 
     fn give_up_expired(&self, state: &mut State) {
@@ -461,9 +461,9 @@
         state.expired_after = Some(now + LOOK_EVERY);
         let config = self.shared.fleet.config();
         let expired = |job: &Job| {
-            let head = &job.board.head;
+            let head = &job.submission.head;
             let route = config.route(&head.host, &head.path);
-            route.is_some_and(|route| job.board.expires(route) < now)
+            route.is_some_and(|route| job.submission.expires(route) < now)
         };
         let expired: Vec<SampleKey> = state
             .jobs
@@ -485,7 +485,7 @@
             return;
         };
         let job = &mut state.jobs[at];
-        let (board, place) = (Arc::clone(&job.board), job.place);
+        let (submission, place) = (Arc::clone(&job.submission), job.place);
         let patience = state.placement.event_timeout(job.silences);
         let reached = Reached {
             event: job.progress.last_event,
@@ -505,7 +505,7 @@
         job.first_start.get_or_insert(now);
         self.note_first_slack(job, now);
         drop(tokio::spawn(async move {
-            let drafted = drafting.draft(key, board, place, assigned, reached);
+            let drafted = drafting.draft(key, submission, place, assigned, reached);
             drafted.await;
         }));
     }
@@ -513,7 +513,7 @@
     async fn draft(
         self,
         key: SampleKey,
-        board: Arc<Board>,
+        submission: Arc<LocalSubmission>,
         place: usize,
         assigned: Assigned,
         mut reached: Reached,
@@ -530,8 +530,8 @@
             shared: &self.shared,
             take_event: &take_event,
             take_load: &take_load,
-            board: &board,
-            item: &board.items[place],
+            submission: &submission,
+            item: &submission.items[place],
             upstream: &upstream,
             started: false,
             patience,
@@ -545,8 +545,8 @@
             let outcome = format_args!("{attempt:?}");
             let took_ms = ended.duration_since(started).as_millis();
             let mut fields: Vec<(&str, &dyn Display)> = vec![
-                ("submission", &board.id),
-                ("item", &board.items[place].id),
+                ("submission", &submission.id),
+                ("item", &submission.items[place].id),
                 ("upstream", &upstream.instance),
                 ("outcome", &outcome),
                 ("events", &reached.made),
@@ -613,7 +613,7 @@
             Attempt::Failed => {
                 let job = &mut state.jobs[at];
                 job.progress.failures += 1;
-                let head = &job.board.head;
+                let head = &job.submission.head;
                 let config = self.shared.fleet.config();
                 let route = config.route(&head.host, &head.path);
                 let most = route.map_or(u32::MAX, |route| route.max_attempts.max(1));
@@ -637,7 +637,7 @@
     /// Lists an item whose text is whole, and scored if that is wanted.
     fn complete(&self, state: &mut State, at: usize) {
         let job = state.jobs.remove(at);
-        let item = &job.board.items[job.place];
+        let item = &job.submission.items[job.place];
         let result = completed(item, &job.progress);
         let now = self.shared.clock.now();
         let since_offer = |at: Instant| at.duration_since(job.offered).as_millis();
@@ -651,7 +651,7 @@
             drafted_ms.unwrap_or_default(),
         );
         let mut fields: Vec<(&str, &dyn Display)> = vec![
-            ("submission", &job.board.id),
+            ("submission", &job.submission.id),
             ("item", &item.id),
             ("events", &events),
             ("tries", &job.tries),
@@ -663,7 +663,7 @@
             fields.push(("slack_ms", slack_ms));
         }
         self.shared.journal.event("item_completed", &fields);
-        job.board.note(now, result);
+        job.submission.note(now, result);
         state.kept.keep(&item.id, job.progress);
     }
 
@@ -695,9 +695,9 @@
     pub fn unsaved_texts(&self, submission: &str, saved: &[SavedText]) -> Vec<TextPiece> {
         let state = self.lock();
         let jobs = state.jobs.iter();
-        let of_submission = jobs.filter(|job| job.board.id == submission);
+        let of_submission = jobs.filter(|job| job.submission.id == submission);
         let pieces = of_submission.filter_map(|job| {
-            let item = &job.board.items[job.place].id;
+            let item = &job.submission.items[job.place].id;
             let known = saved.binary_search_by(|held| held.item.cmp(item));
             let known = known.ok().map(|at| &saved[at]);
             let after = known.map_or(0, |saved| saved.events);
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -21,7 +21,7 @@
 use crate::model::Config;
 use crate::model::RouteKind;
 use crate::model::Upstream;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 
 /// Whether a service with rollouts has engines that hold two or more models.
 #[must_use]
@@ -40,22 +40,22 @@
 }
 
 /// Records the length hints of a step that arrived.
-pub(crate) fn note_step(state: &mut State, board: &Board) {
-    let hints = board.items.iter().map(|item| item.expected_tokens);
+pub(crate) fn note_step(state: &mut State, submission: &LocalSubmission) {
+    let hints = submission.items.iter().map(|item| item.expected_tokens);
     state.lengths.note_step(hints);
     state.ordered_after = None;
 }
 
 /// Records the length of a sample whose text is complete.
 pub(crate) fn note_length(lengths: &mut Lengths, job: &Job) {
-    let expected_tokens = job.board.items[job.place].expected_tokens;
+    let expected_tokens = job.submission.items[job.place].expected_tokens;
     lengths.note_ended(expected_tokens, job.progress.events.len() as u32);
 }
 
 fn open_sample(job: &Job) -> OpenSample {
     OpenSample {
         group: job.group,
-        expected_tokens: job.board.items[job.place].expected_tokens,
+        expected_tokens: job.submission.items[job.place].expected_tokens,
         drafted: job.progress.events.len() as u32,
         is_whole: job.progress.whole,
     }
@@ -90,7 +90,7 @@
         let event = state.placement.median_event_time();
         let State { jobs, lengths, .. } = state;
         // Jobs of one step are adjacent.
-        for step in jobs.chunk_by_mut(|a, b| Arc::ptr_eq(&a.board, &b.board)) {
+        for step in jobs.chunk_by_mut(|a, b| Arc::ptr_eq(&a.submission, &b.submission)) {
             let places = self.places_of(step, lengths, event, now);
             for (job, place) in step.iter_mut().zip(places) {
                 job.by_slack = Some(place);
@@ -109,8 +109,8 @@
         let Some(first) = step.first() else {
             return Vec::new();
         };
-        let head = &first.board.head;
-        let (due, age) = self.due_and_age(&first.board, now);
+        let head = &first.submission.head;
+        let (due, age) = self.due_and_age(&first.submission, now);
         let samples: Vec<OpenSample> = step.iter().map(open_sample).collect();
         let step = OpenStep {
             accepted_ms: head.accepted_ms,
@@ -124,9 +124,9 @@
     }
 
     /// Time from the accept of a step until it is due, and its current age.
-    fn due_and_age(&self, board: &Board, now: Instant) -> (Duration, Duration) {
-        let due = self.due_of(&board.head);
-        let due_at = board.due(&self.shared.fleet.config());
+    fn due_and_age(&self, submission: &LocalSubmission, now: Instant) -> (Duration, Duration) {
+        let due = self.due_of(&submission.head);
+        let due_at = submission.due(&self.shared.fleet.config());
         let accepted = due_at.checked_sub(due).unwrap_or(due_at);
         (due, now.saturating_duration_since(accepted))
     }
@@ -135,7 +135,7 @@
     pub(crate) fn note_first_slack(&self, job: &mut Job, now: Instant) {
         let is_first = job.first_start == Some(now) && job.tries == 1;
         if let Some(place) = job.by_slack.filter(|_| is_first) {
-            let (due, age) = self.due_and_age(&job.board, now);
+            let (due, age) = self.due_and_age(&job.submission, now);
             job.first_slack_ms = Some(slack_ms(due, age, place.remaining));
         }
     }
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -33,7 +33,7 @@
 use crate::model::Score;
 use crate::model::Upstream;
 use crate::shared::Shared;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 
 /// Pause before a call that did not run, or broke off, is sent again: a full service
 /// frees a place in a tenth of a second, and a restart takes seconds.
@@ -115,23 +115,28 @@
     }
 
     /// Scores an item's whole text. Dropping the future ends its call.
-    pub async fn score(&self, board: &Board, item: &Item, call: &RewardCall) -> Scored {
+    pub async fn score(
+        &self,
+        submission: &LocalSubmission,
+        item: &Item,
+        call: &RewardCall,
+    ) -> Scored {
         let mut avoid = Vec::new();
         let mut failures = 0;
         loop {
-            if let Some(reason) = self.is_over(board) {
+            if let Some(reason) = self.is_over(submission) {
                 return Scored::GivenUp(reason);
             }
-            let attempt = self.attempt(board, call, &mut avoid).await;
+            let attempt = self.attempt(submission, call, &mut avoid).await;
             if let Attempt::Answered(proof) = attempt {
                 let call = call.clone();
                 return Scored::Score(Score { call, proof });
             }
-            self.note(board, item, call, &attempt);
+            self.note(submission, item, call, &attempt);
             let pause = match attempt {
                 Attempt::Failed => {
                     failures += 1;
-                    if failures >= self.most_failures(board, call) {
+                    if failures >= self.most_failures(submission, call) {
                         return Scored::GivenUp("score-failed");
                     }
                     Duration::ZERO
@@ -144,10 +149,10 @@
     }
 
     /// Why the submission's items may be given up, if they may.
-    fn is_over(&self, board: &Board) -> Option<&'static str> {
+    fn is_over(&self, submission: &LocalSubmission) -> Option<&'static str> {
         let config = self.shared.fleet.config();
-        match config.route(&board.head.host, &board.head.path) {
-            Some(route) if self.shared.clock.now() < board.expires(route) => None,
+        match config.route(&submission.head.host, &submission.head.path) {
+            Some(route) if self.shared.clock.now() < submission.expires(route) => None,
             Some(_) => Some("score-expired"),
             // Without a configuration nothing is known of routes: a node that starts reads
             // its submissions first.
@@ -158,9 +163,9 @@
 
     /// Failures that end the item: the calls of both its routes have a limit, and the
     /// larger one is safe under either.
-    fn most_failures(&self, board: &Board, call: &RewardCall) -> u32 {
+    fn most_failures(&self, submission: &LocalSubmission, call: &RewardCall) -> u32 {
         let config = self.shared.fleet.config();
-        let of_item = config.route(&board.head.host, &board.head.path);
+        let of_item = config.route(&submission.head.host, &submission.head.path);
         let of_call = config.route(&call.host, &call.path);
         let limits = [of_item, of_call].into_iter().flatten();
         let most = limits.map(|route| route.max_attempts).max();
@@ -169,7 +174,7 @@
 
     async fn attempt(
         &self,
-        board: &Board,
+        submission: &LocalSubmission,
         call: &RewardCall,
         avoid: &mut Vec<UpstreamKey>,
     ) -> Attempt {
@@ -178,7 +183,7 @@
             return Attempt::NoRoute;
         };
         let service = pick_target(route, &call.id);
-        let ask = self.ask(board, avoid);
+        let ask = self.ask(submission, avoid);
         let permit = match self.gates.of(service).admit(ask).await {
             Ok(permit) => permit,
             Err(turned) => return Attempt::NotRun(turned.reason.as_str()),
@@ -196,12 +201,12 @@
         attempt
     }
 
-    fn ask(&self, board: &Board, avoid: &[UpstreamKey]) -> Ask {
+    fn ask(&self, submission: &LocalSubmission, avoid: &[UpstreamKey]) -> Ask {
         let now = self.shared.clock.now();
-        let due = board.due(&self.shared.fleet.config());
+        let due = submission.due(&self.shared.fleet.config());
         Ask {
             class: Class::Training,
-            caller: xxh3_64(board.head.model.as_bytes()),
+            caller: xxh3_64(submission.head.model.as_bytes()),
             prefix: 0,
             cost_tokens: 1,
             priority: 0,
@@ -282,11 +287,17 @@
         }
     }
 
-    fn note(&self, board: &Board, item: &Item, call: &RewardCall, attempt: &Attempt) {
+    fn note(
+        &self,
+        submission: &LocalSubmission,
+        item: &Item,
+        call: &RewardCall,
+        attempt: &Attempt,
+    ) {
         self.shared.journal.event(
             "reward_call_failed",
             &[
-                ("submission", &board.id),
+                ("submission", &submission.id),
                 ("item", &item.id),
                 ("request", &call.id),
                 ("outcome", &format_args!("{attempt:?}")),
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -20,7 +20,7 @@
 use crate::respond::reason_of;
 use crate::respond::refusal;
 use crate::store::Created;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 use crate::submission::manager::Acceptance;
 use crate::submission::manager::AcceptanceEntry;
 use crate::submission::manager::Desk;
@@ -233,10 +233,10 @@
                     self.log_accepted(&submission);
                     self.update_home(&submission);
                     let clock = &*self.shared.clock;
-                    let board = Board::new(id.clone(), head, submission.items, clock);
+                    let local = LocalSubmission::new(id.clone(), head, submission.items, clock);
                     // Its head names this node as the runner from this time on.
-                    board.view.confirm(sent);
-                    self.start(board);
+                    local.view.confirm(sent);
+                    self.start(local);
                 }
                 Acceptance::Accepted
             }
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -41,11 +41,11 @@
     ) -> Response<Body> {
         let (id, question) = (call.submission.as_str(), &call.question);
         // The heads of own submissions are read periodically, so this needs no read.
-        if let Some(board) = self.board(id) {
-            if !board.head.is_for(account) {
+        if let Some(submission) = self.find_local(id) {
+            if !submission.head.is_for(account) {
                 return no_such_submission();
             }
-            let answer = self.answer(&board, question).await;
+            let answer = self.answer(&submission, question).await;
             // On a conflict the submission was released; a client's question goes to its new
             // runner.
             if asker == Asker::Peer || answer.status() != StatusCode::CONFLICT {
@@ -77,7 +77,7 @@
         for _ in 0..MAX_HEAD_ATTEMPTS {
             if known.head.runner == self.shared.me {
                 return match self.get_or_load(id, known.head).await {
-                    Ok(board) => self.answer(&board, question).await,
+                    Ok(submission) => self.answer(&submission, question).await,
                     Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable"),
                 };
             }
@@ -255,8 +255,8 @@
                         .journal
                         .event("submission_ended", &[("submission", &id)]);
                     // This node may have started to run it meanwhile.
-                    if let Some(board) = self.board(id) {
-                        self.stop(&board);
+                    if let Some(submission) = self.find_local(id) {
+                        self.stop(&submission);
                     }
                     return empty(StatusCode::OK);
                 }
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -86,7 +86,7 @@
 
 /// A submission that this node runs.
 #[derive(Debug)]
-pub struct Board {
+pub struct LocalSubmission {
     /// Its id.
     pub id: String,
     /// Its head when this node began to run it.
@@ -112,7 +112,7 @@
     released: AtomicBool,
 }
 
-impl Board {
+impl LocalSubmission {
     /// Creates a submission without results.
     #[must_use]
     pub fn new(id: String, head: Head, items: Vec<Item>, clock: &dyn Clock) -> Arc<Self> {
@@ -174,17 +174,17 @@
                 .map_err(|error| StoreError::Malformed(error.into()))?;
             items.extend(part.items);
         }
-        let board = Self::new(id.to_owned(), head, items, clock);
-        board.had_another_runner.store(true, Ordering::Relaxed);
-        board.catch_up(store).await?;
-        if board.is_running() {
+        let submission = Self::new(id.to_owned(), head, items, clock);
+        submission.had_another_runner.store(true, Ordering::Relaxed);
+        submission.catch_up(store).await?;
+        if submission.is_running() {
             let records: Vec<UnfinishedTexts> =
                 read_records(store, Kind::UnfinishedTexts, id, 0).await?;
-            board.note_saved_records(records.len());
+            submission.note_saved_records(records.len());
             let pieces = records.into_iter().flat_map(|record| record.pieces);
-            *board.lock_saved() = put_together(pieces.collect());
+            *submission.lock_saved() = put_together(pieces.collect());
         }
-        Ok(board)
+        Ok(submission)
     }
 
     /// Reads the chunks that other runners have added to the log.
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Like [`Board::results`], but holds a page back until the last group that the trainer
+    /// Like [`LocalSubmission::results`], but holds a page back until the last group that the trainer
     /// waits for is complete, within `wait` and the limits of [`Asked::hold`]. The step is due
     /// at the age `due`.
     pub async fn results_held(
@@ -550,7 +550,7 @@
     /// Makes results pending again after another node created their chunk, except those that
     /// are listed.
     ///
-    /// A concurrent [`Board::catch_up`] may have read the other node's chunk during the write.
+    /// A concurrent [`LocalSubmission::catch_up`] may have read the other node's chunk during the write.
     /// Without the filter its items would be written again and be at two positions of the log.
     fn requeue(&self, now: Instant, mut results: Vec<ItemResult>) {
         let mut state = self.lock();
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -48,7 +48,7 @@
 use crate::submission::heads::Known;
 use crate::submission::home_finder::Finder;
 use crate::submission::homes::Homes;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 use crate::submission::records::Head;
 use crate::submission::records::Runner;
 use crate::submission::runners::Runners;
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub(in crate::submission) struct State {
     /// Sorted by id.
-    pub(in crate::submission) submissions: Vec<Arc<Board>>,
+    pub(in crate::submission) submissions: Vec<Arc<LocalSubmission>>,
     /// Submissions that are being accepted.
     accepting: Vec<PendingAcceptance>,
     /// Submissions whose heads were read for questions of other nodes, and when.
@@ -227,9 +227,9 @@
     fn apply_head(&self, known: Known) {
         self.shared.heads.note(known.clone());
         let is_runner = known.head.runner == self.shared.me;
-        match self.board(&known.id) {
-            Some(board) if !is_runner => self.release(&board),
-            Some(board) if known.head.ended => self.stop(&board),
+        match self.find_local(&known.id) {
+            Some(submission) if !is_runner => self.release(&submission),
+            Some(submission) if known.head.ended => self.stop(&submission),
             None if is_runner && !self.is_being_accepted(&known.id) => {
                 let desk = self.clone();
                 drop(tokio::spawn(async move {
@@ -243,14 +243,14 @@
 
     /// Reads the head of a submission periodically for as long as this node runs it: another
     /// node that could not reach this one may have taken it over, or ended it.
-    async fn watch_head(self, board: Arc<Board>) {
-        while board.is_running() && !board.is_complete() {
+    async fn watch_head(self, submission: Arc<LocalSubmission>) {
+        while submission.is_running() && !submission.is_complete() {
             let limits = self.shared.settings.now().head_limits();
-            let read_requested = board.view.look_wanted();
+            let read_requested = submission.view.look_wanted();
             // The head is read after the interval, or earlier on request.
             drop(tokio::time::timeout(limits.look_every, read_requested).await);
             // While the store is unavailable no other node can take over either.
-            drop(self.confirm_runner(&board).await);
+            drop(self.confirm_runner(&submission).await);
         }
     }
 
@@ -259,18 +259,18 @@
     /// # Errors
     ///
     /// The store did not answer.
-    async fn confirm_runner(&self, board: &Board) -> Result<bool, StoreError> {
+    async fn confirm_runner(&self, submission: &LocalSubmission) -> Result<bool, StoreError> {
         let sent = self.shared.boot_clock.since_boot();
-        let newest = self.shared.heads.reread(&board.id).await;
+        let newest = self.shared.heads.reread(&submission.id).await;
         if newest.is_err() {
-            board.view.note_in_vain(sent);
+            submission.view.note_in_vain(sent);
         }
         let Some(known) = newest? else {
             return Ok(false);
         };
         let is_runner = known.head.runner == self.shared.me;
         if is_runner && !known.head.ended {
-            board.view.confirm(sent);
+            submission.view.confirm(sent);
         }
         self.apply_head(known);
         Ok(is_runner)
@@ -282,20 +282,24 @@
     /// its own answer would then show less than the trainer has already read. So it gives an
     /// empty page only if a read of the head, sent less than [`CONFIRMATION_TTL`] ago, showed
     /// it as the runner. Listed results never change, so other pages need no such read.
-    async fn answer_empty_page(&self, board: &Board, after: usize) -> Response<Body> {
+    async fn answer_empty_page(
+        &self,
+        submission: &LocalSubmission,
+        after: usize,
+    ) -> Response<Body> {
         let now = self.shared.boot_clock.since_boot();
-        let confirmed = board.view.confirmed();
+        let confirmed = submission.view.confirmed();
         let is_fresh = confirmed.is_some_and(|sent| now.saturating_sub(sent) < CONFIRMATION_TTL);
-        let is_certain = is_fresh || after >= board.items.len();
+        let is_certain = is_fresh || after >= submission.items.len();
         let is_runner = if is_certain {
             Ok(true)
         } else {
-            self.confirm_log(board).await
+            self.confirm_log(submission).await
         };
         match is_runner {
             Ok(true) => {
-                let results = board.results(after, Duration::ZERO).await;
-                self.result_page(board, after, &results)
+                let results = submission.results(after, Duration::ZERO).await;
+                self.result_page(submission, after, &results)
             }
             Ok(false) => empty(StatusCode::CONFLICT),
             Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "not-confirmed"),
@@ -309,17 +313,22 @@
     /// writes no chunk that would collide with them, so it would show less than the trainer
     /// has read for good. Hence a node that did not accept the submission itself reads the log
     /// again before it gives an empty page.
-    async fn confirm_log(&self, board: &Board) -> Result<bool, StoreError> {
-        let is_runner = self.confirm_runner(board).await?;
-        if is_runner && board.had_another_runner() {
-            board.catch_up(&self.shared.store).await?;
+    async fn confirm_log(&self, submission: &LocalSubmission) -> Result<bool, StoreError> {
+        let is_runner = self.confirm_runner(submission).await?;
+        if is_runner && submission.had_another_runner() {
+            submission.catch_up(&self.shared.store).await?;
         }
         Ok(is_runner)
     }
 
-    fn result_page(&self, board: &Board, after: usize, results: &[ItemResult]) -> Response<Body> {
+    fn result_page(
+        &self,
+        submission: &LocalSubmission,
+        after: usize,
+        results: &[ItemResult],
+    ) -> Response<Body> {
         let page = ResultPage {
-            total: board.items.len(),
+            total: submission.items.len(),
             next: after + results.len(),
             results,
         };
@@ -353,44 +362,49 @@
 
     pub(in crate::submission) async fn answer(
         &self,
-        board: &Arc<Board>,
+        submission: &Arc<LocalSubmission>,
         question: &Question,
     ) -> Response<Body> {
         match question {
             Question::Results { after, wait } => {
-                let results = self.results(board, *after, *wait).await;
-                if board.is_given_up() {
+                let results = self.results(submission, *after, *wait).await;
+                if submission.is_given_up() {
                     return empty(StatusCode::CONFLICT);
                 }
                 if results.is_empty() {
-                    return self.answer_empty_page(board, *after).await;
+                    return self.answer_empty_page(submission, *after).await;
                 }
-                self.result_page(board, *after, &results)
+                self.result_page(submission, *after, &results)
             }
-            Question::Item(item) => match board.unlisted(item) {
+            Question::Item(item) => match submission.unlisted(item) {
                 Some(item) => match self.shared.dialect.item_body(&item) {
                     Ok(body) => bytes_response(StatusCode::OK, body),
                     Err(_) => refusal(Outcome::Unknown, "body-unreadable"),
                 },
                 None => refusal(Outcome::BadRequest(StatusCode::NOT_FOUND), "no-such-item"),
             },
-            Question::End => self.end(board).await,
+            Question::End => self.end(submission).await,
         }
     }
 
-    async fn results(&self, board: &Board, after: usize, wait: Duration) -> Vec<ItemResult> {
+    async fn results(
+        &self,
+        submission: &LocalSubmission,
+        after: usize,
+        wait: Duration,
+    ) -> Vec<ItemResult> {
         if !self.shared.off.leaves(Mechanism::HeldAnswers) {
-            return board.results(after, wait).await;
+            return submission.results(after, wait).await;
         }
-        let due = self.shared.drafting.due_of(&board.head);
+        let due = self.shared.drafting.due_of(&submission.head);
         let clock = &*self.shared.clock;
-        board.results_held(after, wait, due, clock).await
+        submission.results_held(after, wait, due, clock).await
     }
 
     /// Ends a submission: here at once, and in the store before the answer.
-    async fn end(&self, board: &Arc<Board>) -> Response<Body> {
-        self.stop(board);
-        self.end_in_store(&board.id).await
+    async fn end(&self, submission: &Arc<LocalSubmission>) -> Response<Body> {
+        self.stop(submission);
+        self.end_in_store(&submission.id).await
     }
 
     /// Returns a submission that this node runs, loaded from the store if necessary.
@@ -398,28 +412,28 @@
         &self,
         id: &str,
         head: Head,
-    ) -> Result<Arc<Board>, StoreError> {
-        if let Some(board) = self.board(id) {
-            return Ok(board);
+    ) -> Result<Arc<LocalSubmission>, StoreError> {
+        if let Some(submission) = self.find_local(id) {
+            return Ok(submission);
         }
         self.load(id, head).await
     }
 
-    async fn load(&self, id: &str, head: Head) -> Result<Arc<Board>, StoreError> {
+    async fn load(&self, id: &str, head: Head) -> Result<Arc<LocalSubmission>, StoreError> {
         let _guard = self.shared.loading.lock().await;
-        if let Some(board) = self.board(id) {
-            return Ok(board);
+        if let Some(submission) = self.find_local(id) {
+            return Ok(submission);
         }
         let started = self.shared.clock.now();
         let loaded = self.read_submission(id, head).await;
         let took_ms = self.shared.clock.now().duration_since(started).as_millis();
         match &loaded {
-            Ok(board) => {
+            Ok(submission) => {
                 self.shared.journal.event(
                     "submission_loaded",
                     &[("submission", &id), ("took_ms", &took_ms)],
                 );
-                self.start(Arc::clone(board));
+                self.start(Arc::clone(submission));
             }
             Err(error) => self.shared.journal.event(
                 "submission_not_loaded",
@@ -434,42 +448,49 @@
     /// The first read takes a second, and a trainer may end its step through another node
     /// meanwhile. Without the second read, engines would generate samples of an ended step
     /// until the next read of the head.
-    async fn read_submission(&self, id: &str, head: Head) -> Result<Arc<Board>, StoreError> {
-        let board = Board::load(&self.shared.store, id, head, &*self.shared.clock).await?;
-        if board.is_running() {
+    async fn read_submission(
+        &self,
+        id: &str,
+        head: Head,
+    ) -> Result<Arc<LocalSubmission>, StoreError> {
+        let submission =
+            LocalSubmission::load(&self.shared.store, id, head, &*self.shared.clock).await?;
+        if submission.is_running() {
             let sent = self.shared.boot_clock.since_boot();
             match self.shared.heads.reread(id).await? {
                 Some(known) if !known.head.ended => {
                     // If another node runs it, no sample starts here, and the next read of the
                     // head releases it.
                     if known.head.runner == self.shared.me {
-                        board.view.confirm(sent);
+                        submission.view.confirm(sent);
                     }
                 }
-                _ => board.end(),
+                _ => submission.end(),
             }
         }
-        Ok(board)
+        Ok(submission)
     }
 
-    pub(in crate::submission) fn start(&self, board: Arc<Board>) {
+    pub(in crate::submission) fn start(&self, submission: Arc<LocalSubmission>) {
         let mut state = self.lock();
         let found = state
             .submissions
-            .binary_search_by(|other| other.id.cmp(&board.id));
+            .binary_search_by(|other| other.id.cmp(&submission.id));
         let Err(at) = found else {
             return;
         };
-        state.submissions.insert(at, Arc::clone(&board));
+        state.submissions.insert(at, Arc::clone(&submission));
         drop(state);
-        drop(tokio::spawn(self.clone().clean_up(Arc::clone(&board))));
-        if board.is_running() {
-            self.shared.drafting.add(&board);
+        drop(tokio::spawn(self.clone().clean_up(Arc::clone(&submission))));
+        if submission.is_running() {
+            self.shared.drafting.add(&submission);
             let (store, clock) = (self.shared.store.clone(), Arc::clone(&self.shared.clock));
             let journal = self.shared.journal.clone();
-            drop(tokio::spawn(self.clone().watch_head(Arc::clone(&board))));
+            drop(tokio::spawn(
+                self.clone().watch_head(Arc::clone(&submission)),
+            ));
             let saver = Saver {
-                board: Arc::clone(&board),
+                submission: Arc::clone(&submission),
                 drafting: self.shared.drafting.clone(),
                 store: store.clone(),
                 clock: Arc::clone(&clock),
@@ -478,30 +499,32 @@
             if self.shared.off.leaves(Mechanism::SavedTexts) {
                 drop(tokio::spawn(saver.run()));
             }
-            let due = self.shared.drafting.due_of(&board.head);
+            let due = self.shared.drafting.due_of(&submission.head);
             let paced = self.shared.off.leaves(Mechanism::PacedListing);
             drop(tokio::spawn(
-                board.keep_log(store, clock, journal, due, paced),
+                submission.keep_log(store, clock, journal, due, paced),
             ));
         }
     }
 
-    pub(in crate::submission) fn stop(&self, board: &Arc<Board>) {
-        board.end();
-        self.shared.drafting.remove(&board.id);
+    pub(in crate::submission) fn stop(&self, submission: &Arc<LocalSubmission>) {
+        submission.end();
+        self.shared.drafting.remove(&submission.id);
     }
 
     /// Stops running a submission that another node runs now.
-    fn release(&self, board: &Arc<Board>) {
-        board.give_up();
-        self.shared.drafting.remove(&board.id);
-        self.lock().submissions.retain(|other| other.id != board.id);
+    fn release(&self, submission: &Arc<LocalSubmission>) {
+        submission.give_up();
+        self.shared.drafting.remove(&submission.id);
+        self.lock()
+            .submissions
+            .retain(|other| other.id != submission.id);
         self.shared
             .journal
-            .event("submission_let_go", &[("submission", &board.id)]);
+            .event("submission_let_go", &[("submission", &submission.id)]);
     }
 
-    pub(in crate::submission) fn board(&self, id: &str) -> Option<Arc<Board>> {
+    pub(in crate::submission) fn find_local(&self, id: &str) -> Option<Arc<LocalSubmission>> {
         let state = self.lock();
         let at = state
             .submissions
@@ -510,7 +533,7 @@
     }
 
     pub(in crate::submission) fn is_known(&self, id: &str) -> bool {
-        self.shared.heads.has(id) || self.board(id).is_some()
+        self.shared.heads.has(id) || self.find_local(id).is_some()
     }
 
     fn is_being_accepted(&self, id: &str) -> bool {
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -20,7 +20,7 @@
 use crate::drafting::Drafting;
 use crate::store::Created;
 use crate::store::Store;
-use crate::submission::local::Board;
+use crate::submission::local::LocalSubmission;
 use crate::submission::records::UnfinishedTexts;
 use crate::submission::records::cut;
 use crate::submission::records::numbered;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Saver {
     /// The submission.
-    pub board: Arc<Board>,
+    pub submission: Arc<LocalSubmission>,
     /// Provides the texts.
     pub drafting: Drafting,
     /// The platform store.
@@ -52,13 +52,13 @@
 impl Saver {
     /// Saves texts until the submission is complete, has ended, or is run by another node.
     pub async fn run(self) {
-        let mut saved = self.board.saved_texts();
+        let mut saved = self.submission.saved_texts();
         // A record whose write had no answer. It may still appear in the store, so it is
         // retried before another record may use its number.
         let mut unconfirmed: Option<UnfinishedTexts> = None;
         loop {
             tokio::time::sleep(SAVE_INTERVAL).await;
-            if !self.board.is_running() || self.board.is_complete() {
+            if !self.submission.is_running() || self.submission.is_complete() {
                 return;
             }
             let Some(record) = unconfirmed.take().or_else(|| self.next_record(&saved)) else {
@@ -66,8 +66,8 @@
             };
             match self.write(&record).await {
                 Ok(Created::Now) => {
-                    self.board
-                        .note_saved_records(self.board.saved_records() + 1);
+                    self.submission
+                        .note_saved_records(self.submission.saved_records() + 1);
                     update_saved(&mut saved, &record);
                 }
                 Ok(Created::Before) => {
@@ -82,7 +82,7 @@
 
     /// Returns a record of unsaved events, up to the size limit; `None` if there are none.
     fn next_record(&self, saved: &[SavedText]) -> Option<UnfinishedTexts> {
-        let pieces = self.drafting.unsaved_texts(&self.board.id, saved);
+        let pieces = self.drafting.unsaved_texts(&self.submission.id, saved);
         let mut records = cut(pieces, piece_bytes);
         records.truncate(1);
         let pieces = records.pop()?;
@@ -91,7 +91,7 @@
     }
 
     async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
-        let name = numbered(&self.board.id, self.board.saved_records());
+        let name = numbered(&self.submission.id, self.submission.saved_records());
         let until = self.clock.now() + WRITE_TIMEOUT;
         let kind = Kind::UnfinishedTexts;
         let creating = self.store.create(kind, &name, record, &record.write, until);
@@ -99,9 +99,8 @@
     }
 
     fn log_event(&self, name: &str, cause: &dyn std::fmt::Display) {
-        let submission = &self.board.id;
-        let fields: [(&str, &dyn std::fmt::Display); 2] =
-            [("submission", submission), ("cause", cause)];
+        let id = &self.submission.id;
+        let fields: [(&str, &dyn std::fmt::Display); 2] = [("submission", id), ("cause", cause)];
         self.journal.event(name, &fields);
     }
 }
