--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -91,7 +91,10 @@
         let limits = self.shared.settings.now().head_limits();
         let clock = &*self.shared.boot_clock;
         let is_over = || !self.submission.is_running();
-        let young = self.submission.view.await_young(clock, &limits, is_over);
+        let young = self
+            .submission
+            .head_view
+            .await_young(clock, &limits, is_over);
         young.await;
         if is_over() {
             return Attempt::Moved;
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -92,7 +92,7 @@
         let mut state = self.lock();
         note_step(&mut state, submission);
         for (place, rank) in ranks.into_iter().enumerate() {
-            if submission.is_open(place) {
+            if submission.is_item_open(place) {
                 self.add_item(&mut state, submission, place, rank, &groups);
             }
         }
@@ -142,7 +142,7 @@
         let kept = state.kept.take(&item.id, submission.head.min_version);
         let kept = kept.map(|kept| kept.progress);
         if let Some(progress) = kept.as_ref().filter(|kept| is_done(item, kept)) {
-            submission.note(self.shared.clock.now(), completed(item, progress));
+            submission.add_result(self.shared.clock.now(), completed(item, progress));
             // It may come yet again.
             state.kept.keep(&item.id, progress.clone());
             return;
@@ -449,7 +449,7 @@
             versions: Vec::new(),
             score: None,
         };
-        job.submission.note(self.shared.clock.now(), result);
+        job.submission.add_result(self.shared.clock.now(), result);
     }
 
     fn give_up_expired(&self, state: &mut State) {
@@ -463,7 +463,7 @@
         let expired = |job: &Job| {
             let head = &job.submission.head;
             let route = config.route(&head.host, &head.path);
-            route.is_some_and(|route| job.submission.expires(route) < now)
+            route.is_some_and(|route| job.submission.expires_at(route) < now)
         };
         let expired: Vec<SampleKey> = state
             .jobs
@@ -663,7 +663,7 @@
             fields.push(("slack_ms", slack_ms));
         }
         self.shared.journal.event("item_completed", &fields);
-        job.submission.note(now, result);
+        job.submission.add_result(now, result);
         state.kept.keep(&item.id, job.progress);
     }
 
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -126,7 +126,7 @@
     /// Time from the accept of a step until it is due, and its current age.
     fn due_and_age(&self, submission: &LocalSubmission, now: Instant) -> (Duration, Duration) {
         let due = self.due_of(&submission.head);
-        let due_at = submission.due(&self.shared.fleet.config());
+        let due_at = submission.due_at(&self.shared.fleet.config());
         let accepted = due_at.checked_sub(due).unwrap_or(due_at);
         (due, now.saturating_duration_since(accepted))
     }
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -152,7 +152,7 @@
     fn is_over(&self, submission: &LocalSubmission) -> Option<&'static str> {
         let config = self.shared.fleet.config();
         match config.route(&submission.head.host, &submission.head.path) {
-            Some(route) if self.shared.clock.now() < submission.expires(route) => None,
+            Some(route) if self.shared.clock.now() < submission.expires_at(route) => None,
             Some(_) => Some("score-expired"),
             // Without a configuration nothing is known of routes: a node that starts reads
             // its submissions first.
@@ -203,7 +203,7 @@
 
     fn ask(&self, submission: &LocalSubmission, avoid: &[UpstreamKey]) -> Ask {
         let now = self.shared.clock.now();
-        let due = submission.due(&self.shared.fleet.config());
+        let due = submission.due_at(&self.shared.fleet.config());
         Ask {
             class: Class::Training,
             caller: xxh3_64(submission.head.model.as_bytes()),
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -235,7 +235,7 @@
                     let clock = &*self.shared.clock;
                     let local = LocalSubmission::new(id.clone(), head, submission.items, clock);
                     // Its head names this node as the runner from this time on.
-                    local.view.confirm(sent);
+                    local.head_view.confirm(sent);
                     self.start(local);
                 }
                 Acceptance::Accepted
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -94,7 +94,7 @@
     /// Its items, in the trainer's order.
     pub items: Vec<Arc<Item>>,
     /// Whether another process may have run it before.
-    had_another_runner: AtomicBool,
+    had_previous_runner: AtomicBool,
     /// When this process began to run it.
     started: Instant,
     /// Estimated time of acceptance. If another node accepted it, this is before `started`,
@@ -103,9 +103,9 @@
     state: Mutex<State>,
     /// Texts of items that an earlier runner saved, sorted by item.
     saved: Mutex<Vec<(String, Progress)>>,
-    saved_records: AtomicUsize,
+    saved_record_count: AtomicUsize,
     /// When the head was last read, for the start of samples.
-    pub view: HeadView,
+    pub head_view: HeadView,
     results_listed: Notify,
     results_pending: Notify,
     /// Whether another node runs it now.
@@ -140,13 +140,13 @@
             id,
             head,
             items: items.into_iter().map(Arc::new).collect(),
-            had_another_runner: AtomicBool::new(false),
+            had_previous_runner: AtomicBool::new(false),
             started,
             accepted,
             state: Mutex::new(state),
             saved: Mutex::default(),
-            saved_records: AtomicUsize::new(0),
-            view: HeadView::default(),
+            saved_record_count: AtomicUsize::new(0),
+            head_view: HeadView::default(),
             results_listed: Notify::new(),
             results_pending: Notify::new(),
             released: AtomicBool::new(false),
@@ -175,12 +175,14 @@
             items.extend(part.items);
         }
         let submission = Self::new(id.to_owned(), head, items, clock);
-        submission.had_another_runner.store(true, Ordering::Relaxed);
+        submission
+            .had_previous_runner
+            .store(true, Ordering::Relaxed);
         submission.catch_up(store).await?;
         if submission.is_running() {
             let records: Vec<UnfinishedTexts> =
                 read_records(store, Kind::UnfinishedTexts, id, 0).await?;
-            submission.note_saved_records(records.len());
+            submission.set_saved_record_count(records.len());
             let pieces = records.into_iter().flat_map(|record| record.pieces);
             *submission.lock_saved() = put_together(pieces.collect());
         }
@@ -203,8 +205,8 @@
 
     /// Whether another process may have run it before, and may still list results.
     #[must_use]
-    pub fn had_another_runner(&self) -> bool {
-        self.had_another_runner.load(Ordering::Relaxed)
+    pub fn had_previous_runner(&self) -> bool {
+        self.had_previous_runner.load(Ordering::Relaxed)
     }
 
     /// When this process began to run it.
@@ -219,14 +221,14 @@
 
     /// When its unfinished items expire.
     #[must_use]
-    pub fn expires(&self, route: &Route) -> Instant {
+    pub fn expires_at(&self, route: &Route) -> Instant {
         self.started + Duration::from_millis(route.queue_ttl_ms)
     }
 
     /// When all its results are due, or its time of acceptance if its route is not known. An
     /// estimate: it affects only the order of work.
     #[must_use]
-    pub fn due(&self, config: &Config) -> Instant {
+    pub fn due_at(&self, config: &Config) -> Instant {
         let route = config.route(&self.head.host, &self.head.path);
         let due_ms = route.map_or(0, |route| route.due_ms);
         self.accepted + Duration::from_millis(due_ms)
@@ -254,13 +256,13 @@
 
     /// Number of records of unfinished texts in the store.
     #[must_use]
-    pub fn saved_records(&self) -> usize {
-        self.saved_records.load(Ordering::Relaxed)
+    pub fn saved_record_count(&self) -> usize {
+        self.saved_record_count.load(Ordering::Relaxed)
     }
 
     /// Sets the number of records of unfinished texts in the store.
-    pub fn note_saved_records(&self, records: usize) {
-        self.saved_records.store(records, Ordering::Relaxed);
+    pub fn set_saved_record_count(&self, records: usize) {
+        self.saved_record_count.store(records, Ordering::Relaxed);
     }
 
     fn lock_saved(&self) -> MutexGuard<'_, Vec<(String, Progress)>> {
@@ -268,7 +270,7 @@
     }
 
     /// Adds the result of an item, to be written to the log. A second result is dropped.
-    pub fn note(&self, now: Instant, result: ItemResult) {
+    pub fn add_result(&self, now: Instant, result: ItemResult) {
         let mut state = self.lock();
         let Some(index) = state.index_of(&result.item) else {
             return;
@@ -285,7 +287,7 @@
 
     /// Whether an item, by its index, still needs a result.
     #[must_use]
-    pub fn is_open(&self, index: usize) -> bool {
+    pub fn is_item_open(&self, index: usize) -> bool {
         self.is_running() && self.lock().statuses[index] == ItemStatus::Open
     }
 
@@ -298,22 +300,22 @@
     /// Ends it: no more results are wanted.
     pub fn end(&self) {
         self.lock().ended = true;
-        self.view.wake();
+        self.head_view.wake();
         self.results_pending.notify_one();
         self.results_listed.notify_waiters();
     }
 
     /// Stops running it here, as another node runs it now.
-    pub fn give_up(&self) {
+    pub fn release(&self) {
         self.released.store(true, Ordering::Release);
-        self.view.wake();
+        self.head_view.wake();
         self.results_pending.notify_one();
         self.results_listed.notify_waiters();
     }
 
     /// Whether another node runs it now.
     #[must_use]
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.released.load(Ordering::Acquire)
     }
 
@@ -326,7 +328,7 @@
 
     /// Number of chunks of its log that this node has read or written.
     #[must_use]
-    pub fn chunks(&self) -> usize {
+    pub fn chunk_count(&self) -> usize {
         self.lock().chunks
     }
 
@@ -340,7 +342,7 @@
             // Registered before the page is read, so that no notification is missed.
             listed.as_mut().enable();
             let page = self.page(after);
-            if !page.is_empty() || self.is_given_up() {
+            if !page.is_empty() || self.is_released() {
                 return page;
             }
             if tokio::time::timeout_at(deadline, listed).await.is_err() {
@@ -368,7 +370,7 @@
             let now = clock.now();
             let waited = now.duration_since(received);
             let page = self.page(after);
-            let is_over = self.is_given_up() || waited >= wait;
+            let is_over = self.is_released() || waited >= wait;
             let hold = if page.is_empty() {
                 wait.saturating_sub(waited)
             } else {
@@ -400,14 +402,14 @@
 
     /// Returns an item by its id.
     #[must_use]
-    pub fn unlisted(&self, item: &str) -> Option<Arc<Item>> {
+    pub fn find_item(&self, item: &str) -> Option<Arc<Item>> {
         let index = self.lock().index_of(item)?;
         Some(Arc::clone(&self.items[index]))
     }
 
     /// Writes results to the log for as long as this node runs the submission, which is due at
     /// the age `due`. Unless `paced`, each result is written at once instead of in batches.
-    pub async fn keep_log(
+    pub async fn write_log(
         self: Arc<Self>,
         store: Store,
         clock: Arc<dyn Clock>,
@@ -417,7 +419,7 @@
     ) {
         loop {
             self.wait_for_batch(&*clock, due, paced).await;
-            if self.is_given_up() {
+            if self.is_released() {
                 return;
             }
             let batch = self.lock().take_batch();
@@ -436,7 +438,7 @@
         loop {
             let write_at = {
                 let state = self.lock();
-                if state.ended || self.is_given_up() {
+                if state.ended || self.is_released() {
                     return;
                 }
                 let oldest = state.pending_since.unwrap_or_else(|| clock.now());
@@ -481,7 +483,7 @@
         let number = self.lock().chunks;
         let name = numbered(&self.id, number);
         let started = clock.now();
-        while !self.is_given_up() {
+        while !self.is_released() {
             let until = clock.now() + WRITE_TIMEOUT;
             let kind = Kind::ResultChunks;
             match store.create(kind, &name, &chunk, &chunk.write, until).await {
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -246,7 +246,7 @@
     async fn watch_head(self, submission: Arc<LocalSubmission>) {
         while submission.is_running() && !submission.is_complete() {
             let limits = self.shared.settings.now().head_limits();
-            let read_requested = submission.view.look_wanted();
+            let read_requested = submission.head_view.look_wanted();
             // The head is read after the interval, or earlier on request.
             drop(tokio::time::timeout(limits.look_every, read_requested).await);
             // While the store is unavailable no other node can take over either.
@@ -263,14 +263,14 @@
         let sent = self.shared.boot_clock.since_boot();
         let newest = self.shared.heads.reread(&submission.id).await;
         if newest.is_err() {
-            submission.view.note_in_vain(sent);
+            submission.head_view.note_in_vain(sent);
         }
         let Some(known) = newest? else {
             return Ok(false);
         };
         let is_runner = known.head.runner == self.shared.me;
         if is_runner && !known.head.ended {
-            submission.view.confirm(sent);
+            submission.head_view.confirm(sent);
         }
         self.apply_head(known);
         Ok(is_runner)
@@ -288,7 +288,7 @@
         after: usize,
     ) -> Response<Body> {
         let now = self.shared.boot_clock.since_boot();
-        let confirmed = submission.view.confirmed();
+        let confirmed = submission.head_view.confirmed();
         let is_fresh = confirmed.is_some_and(|sent| now.saturating_sub(sent) < CONFIRMATION_TTL);
         let is_certain = is_fresh || after >= submission.items.len();
         let is_runner = if is_certain {
@@ -315,7 +315,7 @@
     /// again before it gives an empty page.
     async fn confirm_log(&self, submission: &LocalSubmission) -> Result<bool, StoreError> {
         let is_runner = self.confirm_runner(submission).await?;
-        if is_runner && submission.had_another_runner() {
+        if is_runner && submission.had_previous_runner() {
             submission.catch_up(&self.shared.store).await?;
         }
         Ok(is_runner)
@@ -368,7 +368,7 @@
         match question {
             Question::Results { after, wait } => {
                 let results = self.results(submission, *after, *wait).await;
-                if submission.is_given_up() {
+                if submission.is_released() {
                     return empty(StatusCode::CONFLICT);
                 }
                 if results.is_empty() {
@@ -376,7 +376,7 @@
                 }
                 self.result_page(submission, *after, &results)
             }
-            Question::Item(item) => match submission.unlisted(item) {
+            Question::Item(item) => match submission.find_item(item) {
                 Some(item) => match self.shared.dialect.item_body(&item) {
                     Ok(body) => bytes_response(StatusCode::OK, body),
                     Err(_) => refusal(Outcome::Unknown, "body-unreadable"),
@@ -462,7 +462,7 @@
                     // If another node runs it, no sample starts here, and the next read of the
                     // head releases it.
                     if known.head.runner == self.shared.me {
-                        submission.view.confirm(sent);
+                        submission.head_view.confirm(sent);
                     }
                 }
                 _ => submission.end(),
@@ -502,7 +502,7 @@
             let due = self.shared.drafting.due_of(&submission.head);
             let paced = self.shared.off.leaves(Mechanism::PacedListing);
             drop(tokio::spawn(
-                submission.keep_log(store, clock, journal, due, paced),
+                submission.write_log(store, clock, journal, due, paced),
             ));
         }
     }
@@ -514,7 +514,7 @@
 
     /// Stops running a submission that another node runs now.
     fn release(&self, submission: &Arc<LocalSubmission>) {
-        submission.give_up();
+        submission.release();
         self.shared.drafting.remove(&submission.id);
         self.lock()
             .submissions
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -17,7 +17,7 @@
     pub(in crate::submission) async fn clean_up(self, submission: Arc<LocalSubmission>) {
         let remove_at = submission.started() + self.shared.settings.now().keep_results();
         loop {
-            if submission.is_given_up() {
+            if submission.is_released() {
                 return;
             }
             if self.shared.clock.now() >= remove_at && !submission.is_running() {
@@ -52,8 +52,8 @@
         }
         let store = &self.shared.store;
         let records = [
-            (Kind::ResultChunks, submission.chunks()),
-            (Kind::UnfinishedTexts, submission.saved_records()),
+            (Kind::ResultChunks, submission.chunk_count()),
+            (Kind::UnfinishedTexts, submission.saved_record_count()),
             (Kind::SubmissionParts, submission.head.parts as usize),
         ];
         for (kind, count) in records {
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -67,7 +67,7 @@
             match self.write(&record).await {
                 Ok(Created::Now) => {
                     self.submission
-                        .note_saved_records(self.submission.saved_records() + 1);
+                        .set_saved_record_count(self.submission.saved_record_count() + 1);
                     update_saved(&mut saved, &record);
                 }
                 Ok(Created::Before) => {
@@ -91,7 +91,7 @@
     }
 
     async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
-        let name = numbered(&self.submission.id, self.submission.saved_records());
+        let name = numbered(&self.submission.id, self.submission.saved_record_count());
         let until = self.clock.now() + WRITE_TIMEOUT;
         let kind = Kind::UnfinishedTexts;
         let creating = self.store.create(kind, &name, record, &record.write, until);
