--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -62,7 +62,7 @@
 use crate::submission::home_finder::Finder;
 use crate::submission::homes::Homes;
 use crate::submission::manager::Asker;
-use crate::submission::manager::Desk;
+use crate::submission::manager::SubmissionManager;
 use crate::submission::runners::PING_PATH;
 use crate::submission::runners::name_account;
 use crate::submission::runners::named_account;
@@ -100,7 +100,7 @@
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) live: Arc<Live>,
     pub(crate) scoring: Scoring,
-    pub(crate) desk: Desk,
+    pub(crate) submissions: SubmissionManager,
     pub(crate) drafting: Drafting,
     pub(crate) homes: Homes,
     pub(crate) finder: Finder,
@@ -144,7 +144,9 @@
             Err(denied) => return denial(denied),
         };
         name_account(&mut head.headers, account);
-        self.desk.ask(Asker::Client, account, asked, &head).await
+        self.submissions
+            .answer_question(Asker::Client, account, asked, &head)
+            .await
     }
 
     /// Answers a question while no configuration tells whose key came with it: what
@@ -155,7 +157,10 @@
         mut head: http::request::Parts,
     ) -> Response<Body> {
         name_account(&mut head.headers, None);
-        let answer = self.desk.ask(Asker::Client, None, asked, &head).await;
+        let answer = self
+            .submissions
+            .answer_question(Asker::Client, None, asked, &head)
+            .await;
         if answer.status() == StatusCode::NOT_FOUND {
             return Live::not_ready();
         }
@@ -227,7 +232,9 @@
         match self.dialect.client_call(&head) {
             ClientCall::Asked(asked) => {
                 let account = account.as_deref();
-                self.desk.ask(Asker::Peer, account, &asked, &head).await
+                self.submissions
+                    .answer_question(Asker::Peer, account, &asked, &head)
+                    .await
             }
             ClientCall::Routed(routed) if !self.tasks.is_draining() => {
                 let submitted = Submitted {
@@ -421,9 +428,9 @@
         match submitted.asker {
             Asker::Client => {
                 let draining = self.tasks.is_draining();
-                self.desk.submit(&posted, submission, draining).await
+                self.submissions.submit(&posted, submission, draining).await
             }
-            Asker::Peer => self.desk.accept(&posted, submission).await,
+            Asker::Peer => self.submissions.accept(&posted, submission).await,
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -61,8 +61,8 @@
 use crate::store::Store;
 use crate::submission::home_finder::Finder;
 use crate::submission::homes::Homes;
-use crate::submission::manager::Desk;
-use crate::submission::manager::DeskParts;
+use crate::submission::manager::SubmissionManager;
+use crate::submission::manager::SubmissionManagerParts;
 use crate::submission::records::Runner;
 use crate::usage::counting::Counting;
 use crate::usage::counting::CountingParts;
@@ -385,8 +385,8 @@
         clock: Arc::clone(clock),
         journal: journal.clone(),
     };
-    let desk = Desk::new(DeskParts {
-        me: me.clone(),
+    let submissions = SubmissionManager::new(SubmissionManagerParts {
+        this_node: me.clone(),
         store: base.store.clone(),
         links: base.links.clone(),
         dialect: Arc::clone(dialect),
@@ -460,7 +460,7 @@
         fleet,
         live,
         scoring,
-        desk,
+        submissions,
         drafting,
         homes,
         finder,
@@ -561,8 +561,8 @@
             homes.take(change);
         }
     });
-    let desk = node.desk.clone();
-    base.tasks.spawn(async move { desk.resume().await });
+    let submissions = node.submissions.clone();
+    base.tasks.spawn(async move { submissions.resume().await });
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
     let scoring = node.scoring.clone();
     base.tasks.spawn(async move {
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -23,7 +23,7 @@
 use crate::submission::local::LocalSubmission;
 use crate::submission::manager::Acceptance;
 use crate::submission::manager::AcceptanceEntry;
-use crate::submission::manager::Desk;
+use crate::submission::manager::SubmissionManager;
 use crate::submission::records::Head;
 use crate::submission::records::Part;
 use crate::submission::records::Runner;
@@ -57,7 +57,7 @@
     pub account: Option<&'a str>,
 }
 
-impl Desk {
+impl SubmissionManager {
     /// Accepts a submission, or forwards it to the home node of its model. A draining node
     /// accepts nothing, since another one would have to take it over seconds later.
     pub async fn submit(
@@ -74,7 +74,7 @@
         }
         let model = submission.model.clone();
         let known = self.shared.homes.of(&model);
-        if known.as_ref() == Some(&self.shared.me) {
+        if known.as_ref() == Some(&self.shared.this_node) {
             return self.accept_here(posted, submission, draining, false).await;
         }
         if let Some(home) = &known
@@ -85,7 +85,7 @@
         let samples = submission.items.len() as u32;
         let failed_home = known.map(|home| home.address);
         let found = self.shared.finder.find(&model, failed_home).await;
-        let found = found.filter(|home| *home != self.shared.me);
+        let found = found.filter(|home| *home != self.shared.this_node);
         if let Some(home) = &found
             && self.forward_to_home(home, posted).await
         {
@@ -115,10 +115,10 @@
         let model = submission.model.clone();
         let samples = submission.items.len() as u32;
         let answer = self.accept(posted, submission).await;
-        let is_home = self.shared.homes.of(&model).as_ref() == Some(&self.shared.me);
+        let is_home = self.shared.homes.of(&model).as_ref() == Some(&self.shared.this_node);
         let has_homes = self.shared.off.leaves(Mechanism::Homes);
         if answer.status() == StatusCode::ACCEPTED && !is_home && has_homes {
-            self.assign_home(&model, self.shared.me.clone(), samples);
+            self.assign_home(&model, self.shared.this_node.clone(), samples);
         }
         answer
     }
@@ -260,9 +260,9 @@
     fn update_home(&self, submission: &Submission) {
         let homes = &self.shared.homes;
         let (model, samples) = (&submission.model, submission.items.len() as u32);
-        let is_home = homes.of(model).as_ref() == Some(&self.shared.me);
+        let is_home = homes.of(model).as_ref() == Some(&self.shared.this_node);
         if is_home && homes.has_grown(model, samples) {
-            self.assign_home(model, self.shared.me.clone(), samples);
+            self.assign_home(model, self.shared.this_node.clone(), samples);
         }
     }
 
@@ -315,7 +315,7 @@
             items: submission.items.len() as u32,
             parts: count,
             accepted_ms: self.shared.clock.since_epoch().as_millis() as u64,
-            runner: self.shared.me.clone(),
+            runner: self.shared.this_node.clone(),
             ended: false,
             account,
         };
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -20,8 +20,8 @@
 use crate::respond::with_json;
 use crate::submission::heads::Known;
 use crate::submission::manager::Asker;
-use crate::submission::manager::Desk;
 use crate::submission::manager::RETRY_AFTER;
+use crate::submission::manager::SubmissionManager;
 
 /// Least time between reads of a head for questions that other nodes forwarded by mistake: a
 /// client asks twice a second, and each read is a charged call.
@@ -30,7 +30,7 @@
 /// Attempts to reach a runner, or to change a head that other nodes change concurrently.
 const MAX_HEAD_ATTEMPTS: usize = 4;
 
-impl Desk {
+impl SubmissionManager {
     /// Answers a question about a submission that this node runs; else forwards it to the runner.
     pub(in crate::submission) async fn answer_or_forward(
         &self,
@@ -75,7 +75,7 @@
             return no_such_submission();
         }
         for _ in 0..MAX_HEAD_ATTEMPTS {
-            if known.head.runner == self.shared.me {
+            if known.head.runner == self.shared.this_node {
                 return match self.get_or_load(id, known.head).await {
                     Ok(submission) => self.answer(&submission, question).await,
                     Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable"),
@@ -83,7 +83,7 @@
             }
             if asker == Asker::Peer {
                 match self.reread_for_peer(&known).await {
-                    Some(newest) if newest.head.runner == self.shared.me => {
+                    Some(newest) if newest.head.runner == self.shared.this_node => {
                         known = newest;
                         continue;
                     }
@@ -137,7 +137,7 @@
     /// Without the read, a node with an old head, as all nodes have after they started together,
     /// would wait for a runner that was replaced long ago until its client disconnects.
     ///
-    /// Runs in a task of its own, like [`Desk::replace_runner`].
+    /// Runs in a task of its own, like [`SubmissionManager::replace_runner`].
     async fn find_current_head(self, known: Known) -> Known {
         let read = self.shared.heads.reread(&known.id).await;
         if let Ok(Some(newest)) = read
@@ -162,7 +162,7 @@
         }
         let finder = &self.shared.finder;
         let found = finder.find(&known.head.model, Some(runner)).await;
-        let successor = found.unwrap_or_else(|| self.shared.me.clone());
+        let successor = found.unwrap_or_else(|| self.shared.this_node.clone());
         match self.shared.heads.take_over(&known, successor).await {
             Ok(newest) => newest,
             Err(error) => {
@@ -217,7 +217,7 @@
         call: &request::Parts,
     ) -> Option<Response<Body>> {
         let homes = self.shared.homes.all().into_iter();
-        let others = homes.filter(|home| *home != self.shared.me);
+        let others = homes.filter(|home| *home != self.shared.this_node);
         let mut asked: FuturesUnordered<_> = others
             .map(|home| self.shared.runners.pass_on(home.address, question, call))
             .collect();
--- a/crates/node/src/submission/heads.rs
+++ b/crates/node/src/submission/heads.rs
@@ -29,7 +29,7 @@
 /// The newest head that this node has seen of each submission; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Heads {
-    me: Runner,
+    this_node: Runner,
     store: Store,
     journal: Journal,
     /// Sorted by id.
@@ -39,9 +39,9 @@
 impl Heads {
     /// Creates an empty cache.
     #[must_use]
-    pub fn new(me: Runner, store: Store, journal: Journal) -> Self {
+    pub fn new(this_node: Runner, store: Store, journal: Journal) -> Self {
         Self {
-            me,
+            this_node,
             store,
             journal,
             newest: Arc::default(),
@@ -93,7 +93,7 @@
         let stale = self.store.read_stale(Kind::Submissions, id).await;
         if let Ok(Some(object)) = stale
             && let Some(known) = self.decode(object)
-            && known.head.runner != self.me
+            && known.head.runner != self.this_node
         {
             self.note(known.clone());
             return Ok(Some(known));
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -115,13 +115,13 @@
 
 /// Accepts and runs submissions, and answers questions about them; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Desk {
+pub struct SubmissionManager {
     pub(in crate::submission) shared: Arc<Shared>,
 }
 
 #[derive(Debug)]
 pub(in crate::submission) struct Shared {
-    pub(in crate::submission) me: Runner,
+    pub(in crate::submission) this_node: Runner,
     pub(in crate::submission) store: Store,
     pub(in crate::submission) links: Links,
     pub(in crate::submission) homes: Homes,
@@ -141,11 +141,11 @@
     loading: tokio::sync::Mutex<()>,
 }
 
-/// Dependencies of a [`Desk`].
+/// Dependencies of a [`SubmissionManager`].
 #[derive(Debug)]
-pub struct DeskParts {
+pub struct SubmissionManagerParts {
     /// This node.
-    pub me: Runner,
+    pub this_node: Runner,
     /// The platform store.
     pub store: Store,
     /// Connections to other nodes.
@@ -172,15 +172,19 @@
     pub journal: Journal,
 }
 
-impl Desk {
+impl SubmissionManager {
     /// Creates a manager without submissions.
     #[must_use]
-    pub fn new(parts: DeskParts) -> Self {
-        let heads = Heads::new(parts.me.clone(), parts.store.clone(), parts.journal.clone());
+    pub fn new(parts: SubmissionManagerParts) -> Self {
+        let heads = Heads::new(
+            parts.this_node.clone(),
+            parts.store.clone(),
+            parts.journal.clone(),
+        );
         let shared = Shared {
             heads,
             runners: Runners::new(parts.links.clone(), Arc::clone(&parts.clock)),
-            me: parts.me,
+            this_node: parts.this_node,
             store: parts.store,
             links: parts.links,
             dialect: parts.dialect,
@@ -226,15 +230,15 @@
     /// Loads, stops or releases a submission as its head in the store requires.
     fn apply_head(&self, known: Known) {
         self.shared.heads.note(known.clone());
-        let is_runner = known.head.runner == self.shared.me;
+        let is_runner = known.head.runner == self.shared.this_node;
         match self.find_local(&known.id) {
             Some(submission) if !is_runner => self.release(&submission),
             Some(submission) if known.head.ended => self.stop(&submission),
             None if is_runner && !self.is_being_accepted(&known.id) => {
-                let desk = self.clone();
+                let manager = self.clone();
                 drop(tokio::spawn(async move {
                     // `load` logs a failure; the next question retries it.
-                    drop(desk.load(&known.id, known.head).await);
+                    drop(manager.load(&known.id, known.head).await);
                 }));
             }
             Some(_) | None => {}
@@ -268,7 +272,7 @@
         let Some(known) = newest? else {
             return Ok(false);
         };
-        let is_runner = known.head.runner == self.shared.me;
+        let is_runner = known.head.runner == self.shared.this_node;
         if is_runner && !known.head.ended {
             submission.head_view.confirm(sent);
         }
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Like [`Desk::confirm_runner`], and reads what an earlier runner has listed since.
+    /// Like [`SubmissionManager::confirm_runner`], and reads what an earlier runner has listed since.
     ///
     /// A runner that was paused continues until its next read of the head, and may list
     /// results after another node has read the log. Once the submission has ended, that node
@@ -336,7 +340,7 @@
     }
 
     /// Answers a question about a submission on behalf of an account, and logs a refusal.
-    pub async fn ask(
+    pub async fn answer_question(
         &self,
         asker: Asker,
         account: Option<&str>,
@@ -461,7 +465,7 @@
                 Some(known) if !known.head.ended => {
                     // If another node runs it, no sample starts here, and the next read of the
                     // head releases it.
-                    if known.head.runner == self.shared.me {
+                    if known.head.runner == self.shared.this_node {
                         submission.head_view.confirm(sent);
                     }
                 }
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -6,13 +6,13 @@
 use crate::dialect::Kind;
 use crate::dialect::StoreError;
 use crate::submission::local::LocalSubmission;
-use crate::submission::manager::Desk;
+use crate::submission::manager::SubmissionManager;
 use crate::submission::records::numbered;
 
 /// Interval at which a submission is checked for removal, and a failed removal is retried.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(2);
 
-impl Desk {
+impl SubmissionManager {
     /// Removes an ended submission from the store after the retention time of its results.
     pub(in crate::submission) async fn clean_up(self, submission: Arc<LocalSubmission>) {
         let remove_at = submission.started() + self.shared.settings.now().keep_results();
@@ -47,7 +47,7 @@
         let Some(known) = self.shared.heads.reread(&submission.id).await? else {
             return Ok(());
         };
-        if known.head.runner != self.shared.me {
+        if known.head.runner != self.shared.this_node {
             return Ok(());
         }
         let store = &self.shared.store;
