--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -58,10 +58,10 @@
 use crate::roster::MEMBER;
 use crate::roster::Member;
 use crate::scoring::Scoring;
-use crate::submission::accept::Posted;
+use crate::submission::accept::SubmissionRequest;
 use crate::submission::home_finder::Finder;
 use crate::submission::homes::Homes;
-use crate::submission::manager::Asker;
+use crate::submission::manager::RequestOrigin;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::runners::PING_PATH;
 use crate::submission::runners::name_account;
@@ -145,7 +145,7 @@
         };
         name_account(&mut head.headers, account);
         self.submissions
-            .answer_question(Asker::Client, account, asked, &head)
+            .answer_question(RequestOrigin::Client, account, asked, &head)
             .await
     }
 
@@ -159,7 +159,7 @@
         name_account(&mut head.headers, None);
         let answer = self
             .submissions
-            .answer_question(Asker::Client, None, asked, &head)
+            .answer_question(RequestOrigin::Client, None, asked, &head)
             .await;
         if answer.status() == StatusCode::NOT_FOUND {
             return Live::not_ready();
@@ -233,12 +233,12 @@
             ClientCall::Asked(asked) => {
                 let account = account.as_deref();
                 self.submissions
-                    .answer_question(Asker::Peer, account, &asked, &head)
+                    .answer_question(RequestOrigin::Peer, account, &asked, &head)
                     .await
             }
             ClientCall::Routed(routed) if !self.tasks.is_draining() => {
                 let submitted = Submitted {
-                    asker: Asker::Peer,
+                    origin: RequestOrigin::Peer,
                     routed: &routed,
                     account: account.as_deref(),
                     head: &head,
@@ -368,7 +368,7 @@
         }
         name_account(&mut head.headers, account);
         let submitted = Submitted {
-            asker: Asker::Client,
+            origin: RequestOrigin::Client,
             routed,
             account,
             head: &head,
@@ -419,18 +419,18 @@
                 return refusal(Outcome::BadRequest(status), "malformed-submission");
             }
         };
-        let posted = Posted {
+        let posted = SubmissionRequest {
             host: &routed.host,
             head,
             body: &body,
             account: submitted.account,
         };
-        match submitted.asker {
-            Asker::Client => {
+        match submitted.origin {
+            RequestOrigin::Client => {
                 let draining = self.tasks.is_draining();
                 self.submissions.submit(&posted, submission, draining).await
             }
-            Asker::Peer => self.submissions.accept(&posted, submission).await,
+            RequestOrigin::Peer => self.submissions.accept(&posted, submission).await,
         }
     }
 }
@@ -438,7 +438,7 @@
 /// A submission as it arrives, before its body is read.
 #[derive(Debug, Clone, Copy)]
 struct Submitted<'a> {
-    asker: Asker,
+    origin: RequestOrigin,
     routed: &'a RoutedCall,
     account: Option<&'a str>,
     head: &'a http::request::Parts,
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -46,7 +46,7 @@
 
 /// A client's request that submits a step.
 #[derive(Debug)]
-pub struct Posted<'a> {
+pub struct SubmissionRequest<'a> {
     /// Host that the client called.
     pub host: &'a str,
     /// Head of the request.
@@ -62,7 +62,7 @@
     /// accepts nothing, since another one would have to take it over seconds later.
     pub async fn submit(
         &self,
-        posted: &Posted<'_>,
+        posted: &SubmissionRequest<'_>,
         submission: Submission,
         draining: bool,
     ) -> Response<Body> {
@@ -101,7 +101,7 @@
     /// `was_forwarded`, another node may have accepted it without an answer.
     async fn accept_here(
         &self,
-        posted: &Posted<'_>,
+        posted: &SubmissionRequest<'_>,
         submission: Submission,
         draining: bool,
         was_forwarded: bool,
@@ -132,7 +132,7 @@
     }
 
     /// Forwards a submission to the home of its model; returns whether that has accepted it.
-    async fn forward_to_home(&self, home: &Runner, posted: &Posted<'_>) -> bool {
+    async fn forward_to_home(&self, home: &Runner, posted: &SubmissionRequest<'_>) -> bool {
         let mut request = Request::new(Full::new(posted.body.clone()));
         *request.method_mut() = posted.head.method.clone();
         *request.uri_mut() = posted.head.uri.clone();
@@ -161,7 +161,11 @@
     }
 
     /// Accepts a submission on this node unless it was accepted before, and logs a refusal.
-    pub async fn accept(&self, posted: &Posted<'_>, submission: Submission) -> Response<Body> {
+    pub async fn accept(
+        &self,
+        posted: &SubmissionRequest<'_>,
+        submission: Submission,
+    ) -> Response<Body> {
         let id = submission.id.clone();
         let answer = self.accept_once(posted, submission).await;
         if !answer.status().is_success() {
@@ -182,7 +186,11 @@
     /// A client may disconnect while the store does not answer. If that cancelled the
     /// acceptance, the submission would count as being accepted for ever, and every later
     /// attempt would be refused.
-    async fn accept_once(&self, posted: &Posted<'_>, submission: Submission) -> Response<Body> {
+    async fn accept_once(
+        &self,
+        posted: &SubmissionRequest<'_>,
+        submission: Submission,
+    ) -> Response<Body> {
         let id = submission.id.clone();
         if self.is_known(&id) {
             return empty(StatusCode::ACCEPTED);
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -19,8 +19,8 @@
 use crate::respond::refusal;
 use crate::respond::with_json;
 use crate::submission::heads::Known;
-use crate::submission::manager::Asker;
 use crate::submission::manager::RETRY_AFTER;
+use crate::submission::manager::RequestOrigin;
 use crate::submission::manager::SubmissionManager;
 
 /// Least time between reads of a head for questions that other nodes forwarded by mistake: a
@@ -34,7 +34,7 @@
     /// Answers a question about a submission that this node runs; else forwards it to the runner.
     pub(in crate::submission) async fn answer_or_forward(
         &self,
-        asker: Asker,
+        origin: RequestOrigin,
         account: Option<&str>,
         call: &AskedCall,
         head: &request::Parts,
@@ -48,11 +48,11 @@
             let answer = self.answer(&submission, question).await;
             // On a conflict the submission was released; a client's question goes to its new
             // runner.
-            if asker == Asker::Peer || answer.status() != StatusCode::CONFLICT {
+            if origin == RequestOrigin::Peer || answer.status() != StatusCode::CONFLICT {
                 return answer;
             }
         }
-        let in_outage = asker == Asker::Client && self.shared.outage.is_on();
+        let in_outage = origin == RequestOrigin::Client && self.shared.outage.is_on();
         if in_outage
             && !self.is_known(id)
             && let Some(answer) = self.ask_homes(question, head).await
@@ -63,9 +63,9 @@
             Ok(Some(known)) => known,
             Ok(None) => return no_such_submission(),
             Err(_) => {
-                let answer = match asker {
-                    Asker::Client if !in_outage => self.ask_homes(question, head).await,
-                    Asker::Client | Asker::Peer => None,
+                let answer = match origin {
+                    RequestOrigin::Client if !in_outage => self.ask_homes(question, head).await,
+                    RequestOrigin::Client | RequestOrigin::Peer => None,
                 };
                 let refused = || refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable");
                 return answer.unwrap_or_else(refused);
@@ -81,7 +81,7 @@
                     Err(_) => refusal(Outcome::NotRun(RETRY_AFTER), "store-unavailable"),
                 };
             }
-            if asker == Asker::Peer {
+            if origin == RequestOrigin::Peer {
                 match self.reread_for_peer(&known).await {
                     Some(newest) if newest.head.runner == self.shared.this_node => {
                         known = newest;
@@ -125,7 +125,7 @@
                 _ => break,
             }
         }
-        if asker == Asker::Client && *question == Question::End {
+        if origin == RequestOrigin::Client && *question == Question::End {
             return self.end_in_store(id).await;
         }
         refusal(Outcome::NotRun(RETRY_AFTER), "runner-unreached")
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -66,7 +66,7 @@
 
 /// Where a request comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asker {
+pub enum RequestOrigin {
     /// A client; the request may be forwarded.
     Client,
     /// Another node, which regards this one as the runner or the home.
@@ -342,20 +342,20 @@
     /// Answers a question about a submission on behalf of an account, and logs a refusal.
     pub async fn answer_question(
         &self,
-        asker: Asker,
+        origin: RequestOrigin,
         account: Option<&str>,
         call: &AskedCall,
         head: &request::Parts,
     ) -> Response<Body> {
         let (id, question) = (call.submission.as_str(), &call.question);
-        let answer = self.answer_or_forward(asker, account, call, head).await;
+        let answer = self.answer_or_forward(origin, account, call, head).await;
         if !answer.status().is_success() {
             self.shared.journal.event(
                 "question_refused",
                 &[
                     ("submission", &id),
                     ("question", &format_args!("{question:?}")),
-                    ("from", &format_args!("{asker:?}")),
+                    ("from", &format_args!("{origin:?}")),
                     ("status", &answer.status().as_u16()),
                     ("reason", &reason_of(&answer)),
                 ],
