--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -59,7 +59,7 @@
 use crate::roster::Member;
 use crate::scoring::Scoring;
 use crate::submission::accept::SubmissionRequest;
-use crate::submission::home_finder::Finder;
+use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::manager::RequestOrigin;
 use crate::submission::manager::SubmissionManager;
@@ -103,7 +103,7 @@
     pub(crate) submissions: SubmissionManager,
     pub(crate) drafting: Drafting,
     pub(crate) homes: Homes,
-    pub(crate) finder: Finder,
+    pub(crate) home_finder: HomeFinder,
     pub(crate) holder: Holder,
     pub(crate) counting: Counting,
     pub(crate) relay: Arc<Relay>,
@@ -299,7 +299,7 @@
             return;
         };
         match serde_json::from_slice::<Member>(value.as_bytes()) {
-            Ok(member) => self.finder.roster.note(self.clock.now(), member),
+            Ok(member) => self.home_finder.roster.note(self.clock.now(), member),
             Err(error) => self.journal.event("member_malformed", &[("cause", &error)]),
         }
     }
@@ -310,7 +310,7 @@
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match serde_json::from_slice::<HomeQuestion>(&body) {
-            Ok(question) => json(StatusCode::OK, &self.finder.answer(&question)),
+            Ok(question) => json(StatusCode::OK, &self.home_finder.local_offer(&question)),
             Err(_malformed) => empty(StatusCode::BAD_REQUEST),
         }
     }
@@ -324,7 +324,7 @@
         let now = || self.clock.now();
         let arrived = self.boot_clock.since_boot();
         let mut answer = self.relay.answer(kind, &question, now).await;
-        answer.nodes = self.finder.roster.len();
+        answer.nodes = self.home_finder.roster.len();
         json(StatusCode::OK, &answer.since_question(arrived))
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -59,7 +59,7 @@
 use crate::settings::NodeSettings;
 use crate::shared::Shared;
 use crate::store::Store;
-use crate::submission::home_finder::Finder;
+use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::manager::SubmissionManagerParts;
@@ -377,7 +377,7 @@
         journal.clone(),
         Arc::clone(fleet.demands()),
     );
-    let finder = Finder {
+    let home_finder = HomeFinder {
         seeds: base.sources.seeds.clone(),
         roster: Arc::new(Roster::default()),
         homes: homes.clone(),
@@ -392,7 +392,7 @@
         dialect: Arc::clone(dialect),
         drafting: drafting.clone(),
         homes: homes.clone(),
-        finder: finder.clone(),
+        home_finder: home_finder.clone(),
         outage: base.sources.outage.clone(),
         settings: base.in_force.clone(),
         off: base.off,
@@ -463,7 +463,7 @@
         submissions,
         drafting,
         homes,
-        finder,
+        home_finder,
         holder,
         counting,
         relay: Arc::clone(&base.sources.relay),
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -84,7 +84,7 @@
         }
         let samples = submission.items.len() as u32;
         let failed_home = known.map(|home| home.address);
-        let found = self.shared.finder.find(&model, failed_home).await;
+        let found = self.shared.home_finder.find(&model, failed_home).await;
         let found = found.filter(|home| *home != self.shared.this_node);
         if let Some(home) = &found
             && self.forward_to_home(home, posted).await
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -160,8 +160,8 @@
         if !self.shared.runners.is_gone(runner, error).await {
             return None;
         }
-        let finder = &self.shared.finder;
-        let found = finder.find(&known.head.model, Some(runner)).await;
+        let home_finder = &self.shared.home_finder;
+        let found = home_finder.find(&known.head.model, Some(runner)).await;
         let successor = found.unwrap_or_else(|| self.shared.this_node.clone());
         match self.shared.heads.take_over(&known, successor).await {
             Ok(newest) => newest,
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -28,7 +28,7 @@
 
 /// Asks seed nodes for homes, and offers homes itself on a seed node; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Finder {
+pub struct HomeFinder {
     /// The seed nodes, and whether this node is one.
     pub seeds: Seeds,
     /// On a seed node, the nodes that follow it.
@@ -43,7 +43,7 @@
     pub journal: Journal,
 }
 
-impl Finder {
+impl HomeFinder {
     /// Returns the best home that a seed node offers for a model, other than `but`; `None` if
     /// there is no offer, and the caller should be the home.
     pub async fn find(&self, model: &str, but: Option<SocketAddr>) -> Option<Runner> {
@@ -52,7 +52,7 @@
             but,
         };
         let seeds = self.seeds.now();
-        let own = seeds.is_seed.then(|| self.answer(&question)).flatten();
+        let own = seeds.is_seed.then(|| self.local_offer(&question)).flatten();
         let requests = seeds
             .others
             .iter()
@@ -79,7 +79,7 @@
 
     /// Returns the home that this node offers as a seed node.
     #[must_use]
-    pub fn answer(&self, question: &HomeQuestion) -> Option<HomeOffer> {
+    pub fn local_offer(&self, question: &HomeQuestion) -> Option<HomeOffer> {
         let now = self.clock.now();
         let settled = self.homes.settled();
         let offer = self.roster.home_for(now, question, &settled)?;
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -46,13 +46,13 @@
 use crate::store::Store;
 use crate::submission::heads::Heads;
 use crate::submission::heads::Known;
-use crate::submission::home_finder::Finder;
+use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::local::LocalSubmission;
 use crate::submission::records::Head;
 use crate::submission::records::Runner;
 use crate::submission::runners::Runners;
-use crate::submission::text_saver::Saver;
+use crate::submission::text_saver::TextSaver;
 
 /// When a client may retry a question that this node could not have answered.
 pub(in crate::submission) const RETRY_AFTER: Duration = Duration::from_millis(250);
@@ -125,7 +125,7 @@
     pub(in crate::submission) store: Store,
     pub(in crate::submission) links: Links,
     pub(in crate::submission) homes: Homes,
-    pub(in crate::submission) finder: Finder,
+    pub(in crate::submission) home_finder: HomeFinder,
     pub(in crate::submission) heads: Heads,
     pub(in crate::submission) settings: InForce,
     pub(in crate::submission) off: Off,
@@ -157,7 +157,7 @@
     /// Home nodes of models.
     pub homes: Homes,
     /// Finds home nodes.
-    pub finder: Finder,
+    pub home_finder: HomeFinder,
     /// Whether the store refuses this node's calls.
     pub outage: Outage,
     /// Settings, such as how long results stay readable.
@@ -190,7 +190,7 @@
             dialect: parts.dialect,
             drafting: parts.drafting,
             homes: parts.homes,
-            finder: parts.finder,
+            home_finder: parts.home_finder,
             outage: parts.outage,
             settings: parts.settings,
             off: parts.off,
@@ -493,7 +493,7 @@
             drop(tokio::spawn(
                 self.clone().watch_head(Arc::clone(&submission)),
             ));
-            let saver = Saver {
+            let saver = TextSaver {
                 submission: Arc::clone(&submission),
                 drafting: self.shared.drafting.clone(),
                 store: store.clone(),
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -36,7 +36,7 @@
 
 /// Saves the texts of one submission.
 #[derive(Debug)]
-pub struct Saver {
+pub struct TextSaver {
     /// The submission.
     pub submission: Arc<LocalSubmission>,
     /// Provides the texts.
@@ -49,7 +49,7 @@
     pub journal: Journal,
 }
 
-impl Saver {
+impl TextSaver {
     /// Saves texts until the submission is complete, has ended, or is run by another node.
     pub async fn run(self) {
         let mut saved = self.submission.saved_texts();
