--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -18,7 +18,7 @@
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
 use firweir_policy::listing::Unwritten;
-use firweir_policy::long_poll::Asked;
+use firweir_policy::long_poll::LongPoll;
 use serde::de::DeserializeOwned;
 use tokio::sync::Notify;
 
@@ -351,9 +351,9 @@
         }
     }
 
-    /// Like [`LocalSubmission::results`], but holds a page back until the last group that the trainer
-    /// waits for is complete, within `wait` and the limits of [`Asked::hold`]. The step is due
-    /// at the age `due`.
+    /// Like [`LocalSubmission::results`], but holds a page back until the last group that the
+    /// trainer waits for is complete, within `wait` and the limits of
+    /// [`LongPoll::remaining_hold`]. The step is due at the age `due`.
     pub async fn results_held(
         &self,
         after: usize,
@@ -389,15 +389,15 @@
         if state.ended {
             return Duration::ZERO;
         }
-        let asked = Asked {
+        let asked = LongPoll {
             waited,
-            may_wait,
-            whole_groups: state.listed_group_count(&self.items),
+            max_wait: may_wait,
+            complete_groups: state.listed_group_count(&self.items),
             target_groups: self.head.target_groups as usize,
-            age,
-            due,
+            step_age: age,
+            step_due: due,
         };
-        asked.hold()
+        asked.remaining_hold()
     }
 
     /// Returns an item by its id.
--- a/crates/policy/src/long_poll.rs
+++ b/crates/policy/src/long_poll.rs
@@ -24,37 +24,37 @@
 
 /// An open long poll for which there are some results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
+pub struct LongPoll {
     /// Time for which it has waited.
     pub waited: Duration,
     /// Time for which it may wait.
-    pub may_wait: Duration,
+    pub max_wait: Duration,
     /// Number of groups with a result for every sample.
-    pub whole_groups: usize,
+    pub complete_groups: usize,
     /// Number of groups that the trainer waits for.
     pub target_groups: usize,
     /// Age of the step.
-    pub age: Duration,
+    pub step_age: Duration,
     /// Age at which the step is due.
-    pub due: Duration,
+    pub step_due: Duration,
 }
 
-impl Asked {
+impl LongPoll {
     /// Time for which it is held from now on; zero if it is to be answered now.
     #[must_use]
-    pub fn hold(&self) -> Duration {
-        if self.whole_groups >= self.target_groups {
+    pub fn remaining_hold(&self) -> Duration {
+        if self.complete_groups >= self.target_groups {
             return Duration::ZERO;
         }
         let max_hold = self
-            .may_wait
+            .max_wait
             .mul_f64(HOLD_FRACTION)
             .saturating_sub(self.waited);
-        let answer_at = self.due + ANSWER_AFTER_DUE;
-        let polled_at = self.age.saturating_sub(self.waited);
+        let answer_at = self.step_due + ANSWER_AFTER_DUE;
+        let polled_at = self.step_age.saturating_sub(self.waited);
         if polled_at >= answer_at {
             return max_hold;
         }
-        max_hold.min(answer_at.saturating_sub(self.age))
+        max_hold.min(answer_at.saturating_sub(self.step_age))
     }
 }
--- a/crates/policy/tests/long_poll.rs
+++ b/crates/policy/tests/long_poll.rs
@@ -2,25 +2,25 @@
 
 use std::time::Duration;
 
-use firweir_policy::long_poll::Asked;
+use firweir_policy::long_poll::LongPoll;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 struct Case {
     name: &'static str,
     waited_ms: u64,
-    may_wait_ms: u64,
-    whole_groups: usize,
-    age_ms: u64,
+    max_wait_ms: u64,
+    complete_groups: usize,
+    step_age_ms: u64,
     hold_ms: u64,
 }
 
 const PLAIN: Case = Case {
     name: "",
     waited_ms: 0,
-    may_wait_ms: 1_000,
-    whole_groups: 12,
-    age_ms: 3_000,
+    max_wait_ms: 1_000,
+    complete_groups: 12,
+    step_age_ms: 3_000,
     hold_ms: 850,
 };
 
@@ -45,48 +45,48 @@
         },
         Case {
             name: "all that is waited for",
-            whole_groups: 13,
+            complete_groups: 13,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
             name: "whoever does not wait",
-            may_wait_ms: 0,
+            max_wait_ms: 0,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
             name: "until shortly after the step is due",
-            age_ms: 7_800,
+            step_age_ms: 7_800,
             hold_ms: 200,
             ..PLAIN
         },
         Case {
             name: "what is there when the step is due is told once",
             waited_ms: 300,
-            age_ms: 8_050,
+            step_age_ms: 8_050,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
             name: "a step that is overdue ends with its last group too",
             waited_ms: 300,
-            age_ms: 8_500,
+            step_age_ms: 8_500,
             hold_ms: 550,
             ..PLAIN
         },
     ];
     for case in cases {
-        let asked = Asked {
+        let poll = LongPoll {
             waited: Duration::from_millis(case.waited_ms),
-            may_wait: Duration::from_millis(case.may_wait_ms),
-            whole_groups: case.whole_groups,
+            max_wait: Duration::from_millis(case.max_wait_ms),
+            complete_groups: case.complete_groups,
             target_groups: 13,
-            age: Duration::from_millis(case.age_ms),
-            due: Duration::from_millis(7_500),
+            step_age: Duration::from_millis(case.step_age_ms),
+            step_due: Duration::from_millis(7_500),
         };
         let hold = Duration::from_millis(case.hold_ms);
-        assert_eq!(asked.hold(), hold, "{}", case.name);
+        assert_eq!(poll.remaining_hold(), hold, "{}", case.name);
     }
 }
 
@@ -106,16 +106,16 @@
         loop {
             let has_news =
                 now.as_millis() / 150 > read_until.as_millis() / 150 || now >= last_group_at;
-            let asked = Asked {
+            let poll = LongPoll {
                 waited: now.saturating_sub(polled_at),
-                may_wait: SECOND,
-                whole_groups: if now >= last_group_at { 13 } else { 12 },
+                max_wait: SECOND,
+                complete_groups: if now >= last_group_at { 13 } else { 12 },
                 target_groups: 13,
-                age: now,
-                due: Duration::from_millis(7_500),
+                step_age: now,
+                step_due: Duration::from_millis(7_500),
             };
             let hold = if is_held {
-                asked.hold()
+                poll.remaining_hold()
             } else {
                 Duration::ZERO
             };
@@ -165,26 +165,26 @@
 /// because the trainer's poll is held for a group that is not complete.
 #[test]
 fn results_at_the_due_time_are_returned_soon() {
-    let due = Duration::from_millis(7_500);
+    let step_due = Duration::from_millis(7_500);
     for first_poll_ms in 0..50_u64 {
-        let polled_at = due.saturating_sub(CHECK_INTERVAL * first_poll_ms as u32);
+        let polled_at = step_due.saturating_sub(CHECK_INTERVAL * first_poll_ms as u32);
         let mut now = polled_at;
         loop {
-            let asked = Asked {
+            let poll = LongPoll {
                 waited: now.saturating_sub(polled_at),
-                may_wait: SECOND,
-                whole_groups: 12,
+                max_wait: SECOND,
+                complete_groups: 12,
                 target_groups: 13,
-                age: now,
-                due,
+                step_age: now,
+                step_due,
             };
-            if asked.hold().is_zero() {
+            if poll.remaining_hold().is_zero() {
                 break;
             }
             now += CHECK_INTERVAL;
         }
         assert!(
-            now <= due + POLL_INTERVAL,
+            now <= step_due + POLL_INTERVAL,
             "polled at {polled_at:?}, answered at {now:?}"
         );
     }
