--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -9,8 +9,8 @@
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::straggler::Rules;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::Refusal;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
@@ -43,7 +43,12 @@
 }
 
 impl Dispatcher for Fifo {
-    fn set_upstreams(&mut self, _now: Instant, upstreams: &[UpstreamState], _fleet: &Fleet<'_>) {
+    fn set_upstreams(
+        &mut self,
+        _now: Instant,
+        upstreams: &[UpstreamState],
+        _fleet: &EntryDemands<'_>,
+    ) {
         self.upstreams = upstreams
             .iter()
             .copied()
@@ -145,7 +150,12 @@
 }
 
 impl Dispatcher for Static {
-    fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
+    fn set_upstreams(
+        &mut self,
+        now: Instant,
+        upstreams: &[UpstreamState],
+        fleet: &EntryDemands<'_>,
+    ) {
         self.entries = fleet.demands.len() as u32;
         let running = &self.running;
         let slot = |state: &UpstreamState| {
--- a/crates/firweir/src/process/demand.rs
+++ b/crates/firweir/src/process/demand.rs
@@ -3,7 +3,7 @@
 
 use std::cell::RefCell;
 
-use firweir_policy::work::Fleet;
+use firweir_policy::work::EntryDemands;
 
 use crate::version::view::Demand;
 use crate::version::view::MemberState;
@@ -103,11 +103,11 @@
 
     /// As the dispatcher takes it.
     #[must_use]
-    pub fn fleet(&self) -> Fleet<'_> {
-        Fleet {
+    pub fn fleet(&self) -> EntryDemands<'_> {
+        EntryDemands {
             demands: &self.demands,
             rank: self.rank,
-            known: self.known,
+            known_entries: self.known,
         }
     }
 }
--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -14,8 +14,8 @@
 use firweir_policy::retry::RetryBudget;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::Refusal;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
@@ -124,7 +124,7 @@
     }
 
     /// Takes in the upstreams of the service, each of which runs `limit` requests at once.
-    pub fn set_upstreams(&self, upstreams: &[GateUpstream], limit: u32, fleet: &Fleet<'_>) {
+    pub fn set_upstreams(&self, upstreams: &[GateUpstream], limit: u32, fleet: &EntryDemands<'_>) {
         let mut inner = self.lock();
         let states: Vec<UpstreamState> = upstreams
             .iter()
--- a/crates/firweir/tests/shared_gate.rs
+++ b/crates/firweir/tests/shared_gate.rs
@@ -12,7 +12,7 @@
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
-use firweir_policy::work::Fleet;
+use firweir_policy::work::EntryDemands;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -37,7 +37,7 @@
         local_zone: true,
         leaving: false,
     };
-    gate.set_upstreams(&[upstream], 6, &Fleet::ALONE);
+    gate.set_upstreams(&[upstream], 6, &EntryDemands::SINGLE_ENTRY);
     gate.set_shared(Some(7));
     gate
 }
--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -9,7 +9,7 @@
 use firweir::request::gate::Gate;
 use firweir::request::gate::GateUpstream;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::work::Fleet as Sharing;
+use firweir_policy::work::EntryDemands;
 
 use crate::fleet::Fleet;
 use crate::model::Upstream;
@@ -72,7 +72,7 @@
             let of_service = || upstreams.iter().filter(|held| held.service == service.name);
             let limit = of_service().map(|held| held.slots).max().unwrap_or(1);
             let listed: Vec<_> = of_service().map(|held| self.listed(held)).collect();
-            gate.set_upstreams(&listed, limit, &Sharing::ALONE);
+            gate.set_upstreams(&listed, limit, &EntryDemands::SINGLE_ENTRY);
             gate.set_shared(self.shared_seed.filter(|_| config.shares_services()));
         }
     }
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -14,8 +14,8 @@
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -52,10 +52,10 @@
         })
         .collect();
     let demands = vec![IN_FLIGHT as u32; entries];
-    let fleet = Fleet {
+    let fleet = EntryDemands {
         demands: &demands,
         rank: entries / 2,
-        known: entries,
+        known_entries: entries,
     };
     let mut dispatcher = Balanced::new();
     dispatcher.set_upstreams(now, &states, &fleet);
--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -22,8 +22,8 @@
 use crate::route::ScoreInputs;
 use crate::service_time::ServiceTimeEstimate;
 use crate::work::Ending;
+use crate::work::EntryDemands;
 use crate::work::Finish;
-use crate::work::Fleet;
 use crate::work::Refusal;
 use crate::work::ToldLoad;
 use crate::work::UpstreamKey;
@@ -306,7 +306,12 @@
 }
 
 impl Dispatcher for Background {
-    fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], _fleet: &Fleet<'_>) {
+    fn set_upstreams(
+        &mut self,
+        now: Instant,
+        upstreams: &[UpstreamState],
+        _fleet: &EntryDemands<'_>,
+    ) {
         let is_first = self.upstreams.is_empty();
         let known = std::mem::take(&mut self.upstreams);
         let mut updated: Vec<Upstream> = upstreams
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -19,8 +19,8 @@
 use crate::slots::Slots;
 use crate::work::Class;
 use crate::work::Ending;
+use crate::work::EntryDemands;
 use crate::work::Finish;
-use crate::work::Fleet;
 use crate::work::Refusal;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
@@ -299,8 +299,13 @@
 }
 
 impl Dispatcher for Balanced {
-    fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
-        self.slots.set_upstreams(now, upstreams, fleet);
+    fn set_upstreams(
+        &mut self,
+        now: Instant,
+        upstreams: &[UpstreamState],
+        entries: &EntryDemands<'_>,
+    ) {
+        self.slots.set_upstreams(now, upstreams, entries);
         self.upstreams = upstreams.to_vec();
         if let Some(occupancy) = &mut self.occupancy {
             occupancy.set(upstreams);
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::work::EntryDemands;
 use crate::work::Finish;
-use crate::work::Fleet;
 use crate::work::Refusal;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
@@ -37,7 +37,12 @@
 /// The entry reports events and then carries out decisions until there are none.
 pub trait Dispatcher: Send {
     /// Replaces the upstreams and the demand of the entries that share them.
-    fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>);
+    fn set_upstreams(
+        &mut self,
+        now: Instant,
+        upstreams: &[UpstreamState],
+        entries: &EntryDemands<'_>,
+    );
     /// Offers new work, or work that is retried.
     fn offer(&mut self, now: Instant, work: Work);
     /// Discards work that was not started and whose caller no longer waits.
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::work::Fleet;
+use crate::work::EntryDemands;
 
 /// Factor and additional slots by which the need of an entry exceeds its known demand: a caller
 /// that moves to an idle entry finds free slots there before its demand has been exchanged.
@@ -66,9 +66,9 @@
     /// Share of the entry at `fleet.rank`, where all entries together may have `capacity` requests
     /// in flight.
     #[must_use]
-    pub fn of_entry(fleet: &Fleet<'_>, capacity: f64) -> Self {
+    pub fn of_entry(fleet: &EntryDemands<'_>, capacity: f64) -> Self {
         let live = fleet.demands.len().max(1) as f64;
-        let known = fleet.known as f64;
+        let known = fleet.known_entries as f64;
         if live < known * PARTITIONED_BELOW {
             let width = 1.0 / known;
             let start = fleet.rank as f64 * width;
@@ -122,7 +122,7 @@
 impl EffectiveShare {
     /// Computes the share for the fleet as known now. `capacity` is the sum of the upstreams'
     /// limits.
-    pub fn set(&mut self, now: Instant, fleet: &Fleet<'_>, capacity: f64) {
+    pub fn set(&mut self, now: Instant, fleet: &EntryDemands<'_>, capacity: f64) {
         let share = ShareRange::of_entry(fleet, capacity);
         if self.computed.is_empty() {
             // The other entries divide the whole limit among themselves until they know of this
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -16,7 +16,7 @@
 use crate::speed::CallSpeed;
 use crate::speed::PeerStats;
 use crate::work::Ending;
-use crate::work::Fleet;
+use crate::work::EntryDemands;
 use crate::work::ToldLoad;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
@@ -85,7 +85,12 @@
 
     /// Sets the upstreams and the entries that share them. Resets the slots in use; the caller
     /// counts them again with [`Slots::count_in_flight`].
-    pub fn set_upstreams(&mut self, now: Instant, upstreams: &[UpstreamState], fleet: &Fleet<'_>) {
+    pub fn set_upstreams(
+        &mut self,
+        now: Instant,
+        upstreams: &[UpstreamState],
+        fleet: &EntryDemands<'_>,
+    ) {
         let chosen = subset(upstreams, fleet.rank, fleet.demands.len());
         self.scale = upstreams.len() as f64 / chosen.len().max(1) as f64;
         let limits = upstreams.iter().map(|state| f64::from(state.limit));
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -61,21 +61,21 @@
 
 /// Demand of the entries that share the upstreams, as input of the dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fleet<'a> {
+pub struct EntryDemands<'a> {
     /// Number of requests in flight and waiting at each live entry, sorted by VM name.
     pub demands: &'a [u32],
     /// Index of this entry in `demands`.
     pub rank: usize,
     /// Number of entries that this VM knows of, including those that do not respond.
-    pub known: usize,
+    pub known_entries: usize,
 }
 
-impl Fleet<'_> {
+impl EntryDemands<'_> {
     /// A single entry that shares the upstreams with no other.
-    pub const ALONE: Fleet<'static> = Fleet {
+    pub const SINGLE_ENTRY: EntryDemands<'static> = EntryDemands {
         demands: &[1],
         rank: 0,
-        known: 1,
+        known_entries: 1,
     };
 }
 
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -11,8 +11,8 @@
 use firweir_policy::route::splitmix64;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
@@ -144,7 +144,7 @@
     let mut upstreams: Vec<Upstream> = (0..load.upstreams).map(|_| Upstream::default()).collect();
     let mut senders: Vec<Background> = (0..load.senders).map(|_| Background::new()).collect();
     for sender in &mut senders {
-        sender.set_upstreams(start, &states(load), &Fleet::ALONE);
+        sender.set_upstreams(start, &states(load), &EntryDemands::SINGLE_ENTRY);
         (0..load.calls).for_each(|key| sender.offer(start, work(key, at(load.due_ms))));
     }
     if load.is_greedy {
@@ -334,7 +334,7 @@
     let now = Instant::now();
     let load = Load::step();
     let mut sender = Background::new();
-    sender.set_upstreams(now, &states(&load), &Fleet::ALONE);
+    sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
     let due = now + Duration::from_secs(6);
     (0..96).for_each(|key| sender.offer(now, work(key, due)));
     let mut failed = 0;
@@ -373,7 +373,7 @@
         ..Load::step()
     };
     let mut sender = Background::new();
-    sender.set_upstreams(now, &states(&load), &Fleet::ALONE);
+    sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
     sender.offer(now, work(1, now + Duration::from_secs(5)));
     sender.offer(now, work(2, now + Duration::from_secs(9)));
     sender.offer(now, work(3, now));
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -9,8 +9,8 @@
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::Refusal;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
@@ -107,7 +107,7 @@
         let start = Instant::now();
         let upstreams: Vec<UpstreamState> = (0..6).map(upstream).collect();
         let mut dispatcher = Balanced::new();
-        dispatcher.set_upstreams(start, &upstreams, &Fleet::ALONE);
+        dispatcher.set_upstreams(start, &upstreams, &EntryDemands::SINGLE_ENTRY);
         Self {
             dispatcher,
             start,
@@ -492,7 +492,7 @@
     let upstreams = simulation.upstreams.clone();
     simulation
         .dispatcher
-        .set_upstreams(simulation.now, &upstreams, &Fleet::ALONE);
+        .set_upstreams(simulation.now, &upstreams, &EntryDemands::SINGLE_ENTRY);
     simulation.apply_decisions();
     let before = simulation.starts.len();
     simulation.run(Duration::from_secs(30));
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -9,8 +9,8 @@
 use firweir_policy::occupancy::Occupancy;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::Refusal;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
@@ -168,7 +168,7 @@
     let now = Instant::now();
     let deadline = now + Duration::from_secs(10);
     let mut dispatcher = Balanced::new();
-    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &Fleet::ALONE);
+    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     for key in 0..200 {
         dispatcher.offer(now, work(key, 5, deadline));
@@ -190,7 +190,7 @@
 fn a_call_that_cannot_end_in_time_is_refused_at_once() {
     let now = Instant::now();
     let mut dispatcher = Balanced::new();
-    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &Fleet::ALONE);
+    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
     dispatcher.finish(now, WorkKey(0), &ended(Ending::Refused, Some(24)));
@@ -214,7 +214,7 @@
 fn refused_callers_are_asked_back_once_room_opens() {
     let now = Instant::now();
     let mut dispatcher = Balanced::new();
-    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &Fleet::ALONE);
+    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
     dispatcher.finish(now, WorkKey(0), &ended(Ending::Refused, Some(600)));
@@ -233,7 +233,7 @@
 fn a_waiting_call_is_refused_when_room_opens_too_late() {
     let now = Instant::now();
     let mut dispatcher = Balanced::new();
-    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &Fleet::ALONE);
+    dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     for key in 0..8 {
         dispatcher.offer(now, work(key, 0, now + Duration::from_millis(300)));
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -15,8 +15,8 @@
 use firweir_policy::tries::Tries;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
@@ -148,7 +148,7 @@
         self.states[upstream].leaving = true;
         let now = self.now;
         for node in 0..NODES {
-            self.nodes[node].set_upstreams(now, &self.states, &Fleet::ALONE);
+            self.nodes[node].set_upstreams(now, &self.states, &EntryDemands::SINGLE_ENTRY);
             self.carry_out(node);
         }
     }
@@ -387,7 +387,7 @@
 
 fn dispatcher(start: Instant, shared: bool, node: usize, states: &[UpstreamState]) -> Balanced {
     let mut dispatcher = Balanced::new();
-    dispatcher.set_upstreams(start, states, &Fleet::ALONE);
+    dispatcher.set_upstreams(start, states, &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(start, shared.then(|| splitmix64(node as u64)));
     dispatcher
 }
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -10,7 +10,7 @@
 use firweir_policy::share::EffectiveShare;
 use firweir_policy::share::ShareRange;
 use firweir_policy::work::Ending;
-use firweir_policy::work::Fleet;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 
@@ -57,10 +57,10 @@
         for upstream in 0..case.upstreams {
             let offset = splitmix64(u64::from(upstream)) as f64 / u64::MAX as f64;
             let slots = |rank| {
-                let fleet = Fleet {
+                let fleet = EntryDemands {
                     demands: case.demands,
                     rank,
-                    known: case.demands.len(),
+                    known_entries: case.demands.len(),
                 };
                 ShareRange::of_entry(&fleet, capacity).slots(case.limit, offset)
             };
@@ -73,10 +73,10 @@
 /// A busy entry gets the slots that idle ones do not need.
 #[test]
 fn a_busy_entry_gets_most_of_the_limit() {
-    let fleet = Fleet {
+    let fleet = EntryDemands {
         demands: &[0, 0, 400, 0, 0, 0, 0],
         rank: 2,
-        known: 7,
+        known_entries: 7,
     };
     assert!(ShareRange::of_entry(&fleet, 384.0).width() > 0.8);
 }
@@ -85,10 +85,10 @@
 /// dead: if it used the whole limit, the upstreams would get twice the limit or more.
 #[test]
 fn an_entry_that_is_cut_off_takes_an_equal_part_only() {
-    let alone = Fleet {
+    let alone = EntryDemands {
         demands: &[100],
         rank: 0,
-        known: 9,
+        known_entries: 9,
     };
     assert!(ShareRange::of_entry(&alone, 384.0).width() <= 1.0 / 9.0 + 1e-9);
 }
@@ -101,10 +101,10 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut rising = EffectiveShare::default();
     let mut falling = EffectiveShare::default();
-    let view = |demands, rank| Fleet {
+    let view = |demands, rank| EntryDemands {
         demands,
         rank,
-        known: 2,
+        known_entries: 2,
     };
     rising.set(at(0), &view(&[0, 400], 0), 100.0);
     falling.set(at(0), &view(&[0, 400], 1), 100.0);
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -15,8 +15,8 @@
 use firweir_policy::speed::Speed;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
+use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::Fleet;
 use firweir_policy::work::ToldLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
@@ -88,7 +88,7 @@
         let upstreams: Vec<_> = (0..UPSTREAMS as u32).map(upstream_state).collect();
         let mut nodes: Vec<Balanced> = (0..NODES).map(|_| Balanced::new()).collect();
         for node in &mut nodes {
-            node.set_upstreams(start, &upstreams, &Fleet::ALONE);
+            node.set_upstreams(start, &upstreams, &EntryDemands::SINGLE_ENTRY);
         }
         Self {
             choice,
@@ -273,7 +273,11 @@
     let mut slots = Slots::default();
     // A node that has just started uses only a part of the slots.
     let now = start + WARM_UP;
-    slots.set_upstreams(start, &[0, 1, 2].map(upstream_state), &Fleet::ALONE);
+    slots.set_upstreams(
+        start,
+        &[0, 1, 2].map(upstream_state),
+        &EntryDemands::SINGLE_ENTRY,
+    );
     slots.refresh(now, &AimdLimit::default());
     for answer in 0..60 {
         let at = now + Duration::from_millis(answer * 40);
@@ -322,7 +326,7 @@
         ..upstream_state(0)
     };
     let upstreams = [restarted, upstream_state(1), upstream_state(2)];
-    slots.set_upstreams(later, &upstreams, &Fleet::ALONE);
+    slots.set_upstreams(later, &upstreams, &EntryDemands::SINGLE_ENTRY);
     slots.refresh(later, &AimdLimit::default());
     assert!(is_picked(&slots, 9));
 }
