--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -9,7 +9,7 @@
 use firweir_policy::placement::MoveReason;
 use firweir_policy::placement::Placement;
 use firweir_policy::placement::SampleKey;
-use firweir_policy::slack::Lengths;
+use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::SampleOrder;
 use firweir_policy::step_order::Sample;
 use firweir_policy::step_order::ranks;
@@ -102,7 +102,7 @@
     pub(crate) by_slack: bool,
     /// Waiting samples are not reordered before this time; `None` if they may be at once.
     pub(crate) ordered_after: Option<Instant>,
-    pub(crate) lengths: Lengths,
+    pub(crate) lengths: LengthEstimator,
 }
 
 /// What a node knows of its fleet at one time. Samples end many times a second, and
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::slack::Lengths;
+use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
 use firweir_policy::slack::SampleOrder;
@@ -42,14 +42,14 @@
 /// Records the length hints of a step that arrived.
 pub(crate) fn note_step(state: &mut State, submission: &LocalSubmission) {
     let hints = submission.items.iter().map(|item| item.expected_tokens);
-    state.lengths.note_step(hints);
+    state.lengths.record_step(hints);
     state.ordered_after = None;
 }
 
 /// Records the length of a sample whose text is complete.
-pub(crate) fn note_length(lengths: &mut Lengths, job: &Job) {
+pub(crate) fn note_length(lengths: &mut LengthEstimator, job: &Job) {
     let expected_tokens = job.submission.items[job.place].expected_tokens;
-    lengths.note_ended(expected_tokens, job.progress.events.len() as u32);
+    lengths.record_ended(expected_tokens, job.progress.events.len() as u32);
 }
 
 fn open_sample(job: &Job) -> OpenSample {
@@ -102,7 +102,7 @@
     fn places_of(
         &self,
         step: &[Job],
-        lengths: &Lengths,
+        lengths: &LengthEstimator,
         event: Option<Duration>,
         now: Instant,
     ) -> Vec<SampleOrder> {
--- a/crates/policy/src/slack.rs
+++ b/crates/policy/src/slack.rs
@@ -78,7 +78,7 @@
 /// Estimates the length of samples from their hints and from samples that have ended. All
 /// fields are sums with exponentially decreasing weights.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Lengths {
+pub struct LengthEstimator {
     samples: f64,
     events: f64,
     /// Hints, in tokens, of the samples that had one.
@@ -87,10 +87,10 @@
     hinted_events: f64,
 }
 
-impl Lengths {
+impl LengthEstimator {
     /// Records the hints of a new step, in tokens; 0 means no hint. The mean hint of the first
     /// step with hints is assumed to belong to a sample of mean length; later steps have no effect.
-    pub fn note_step(&mut self, hints: impl Iterator<Item = u32>) {
+    pub fn record_step(&mut self, hints: impl Iterator<Item = u32>) {
         if self.samples > 0.0 && self.hinted_tokens > 0.0 {
             return;
         }
@@ -110,7 +110,7 @@
 
     /// Records that a sample ended after `events` events; `expected_tokens` is its hint, or 0 if
     /// it had none.
-    pub fn note_ended(&mut self, expected_tokens: u32, events: u32) {
+    pub fn record_ended(&mut self, expected_tokens: u32, events: u32) {
         let kept = 1.0 - 1.0 / AVERAGED_SAMPLES;
         let events = f64::from(events);
         self.samples = self.samples * kept + 1.0;
@@ -168,7 +168,7 @@
 #[must_use]
 pub fn order_of(
     step: &OpenStep<'_>,
-    lengths: &Lengths,
+    lengths: &LengthEstimator,
     event: Option<Duration>,
 ) -> Vec<SampleOrder> {
     let event = event.unwrap_or(INITIAL_EVENT_TIME);
--- a/crates/policy/tests/slack.rs
+++ b/crates/policy/tests/slack.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firweir_policy::slack::Lengths;
+use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
 use firweir_policy::slack::order_of;
@@ -30,9 +30,9 @@
     }
 }
 
-fn lengths() -> Lengths {
-    let mut lengths = Lengths::default();
-    lengths.note_step([21 * 16].into_iter());
+fn lengths() -> LengthEstimator {
+    let mut lengths = LengthEstimator::default();
+    lengths.record_step([21 * 16].into_iter());
     lengths
 }
 
@@ -99,8 +99,8 @@
 /// Guards against a division by zero or an undefined order without hints and due time.
 #[test]
 fn without_hints_or_due_time_older_steps_go_first() {
-    let mut lengths = Lengths::default();
-    lengths.note_step([0, 0].into_iter());
+    let mut lengths = LengthEstimator::default();
+    lengths.record_step([0, 0].into_iter());
     let rank = |accepted_ms| {
         let samples = [open(0, 0, 0)];
         let mut step = open_step(&samples, accepted_ms, 0);
@@ -117,7 +117,7 @@
     let mut lengths = lengths();
     let before = lengths.remaining_events(1_000, 0);
     for _ in 0..200_000 {
-        lengths.note_ended(0, 21);
+        lengths.record_ended(0, 21);
     }
     let samples = [open(0, 0, 0), open(1, 1_000, 0)];
     let ranks = order_of(&open_step(&samples, 0, 0), &lengths, Some(EVENT));
@@ -129,8 +129,8 @@
 /// of the hints.
 #[test]
 fn the_mean_of_hints_ignores_samples_without_one() {
-    let mut mixed = Lengths::default();
-    mixed.note_step([0, 21 * 16, 0].into_iter());
+    let mut mixed = LengthEstimator::default();
+    mixed.record_step([0, 21 * 16, 0].into_iter());
     let hinted = lengths().remaining_events(21 * 16, 0);
     assert!((mixed.remaining_events(21 * 16, 0) - hinted).abs() < 0.01);
 }
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -10,7 +10,7 @@
 use firweir_policy::placement::RunOutcome;
 use firweir_policy::placement::SampleKey;
 use firweir_policy::placement::SampleRequest;
-use firweir_policy::slack::Lengths;
+use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
 use firweir_policy::slack::order_of;
@@ -110,7 +110,7 @@
     steps: Vec<Step>,
     samples: Vec<SimulatedSample>,
     placement: Placement,
-    lengths: Lengths,
+    lengths: LengthEstimator,
     /// Time from the acceptance to the end of each step; `None` while it is open.
     took_ms: Vec<Option<u64>>,
 }
@@ -133,7 +133,7 @@
             steps: steps.to_vec(),
             samples: samples.collect(),
             placement,
-            lengths: Lengths::default(),
+            lengths: LengthEstimator::default(),
             took_ms: vec![None; steps.len()],
         }
     }
@@ -202,7 +202,7 @@
             Order::Arrival | Order::Slack => vec![accepted_ms; samples.len()],
         };
         self.lengths
-            .note_step(samples.iter().map(|sample| sample.expected_tokens));
+            .record_step(samples.iter().map(|sample| sample.expected_tokens));
         for (key, rank) in Self::keys_of(step).zip(ranks) {
             self.placement.enqueue(SampleRequest {
                 key: SampleKey(key as u64),
@@ -266,7 +266,7 @@
             if sample.drafted == sample.length_events {
                 sample.is_done = true;
                 self.lengths
-                    .note_ended(sample.hint_tokens, sample.length_events);
+                    .record_ended(sample.hint_tokens, sample.length_events);
                 self.stop(now, key, RunOutcome::Done);
             }
         }
