--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -56,8 +56,8 @@
     OpenSample {
         group: job.group,
         expected_tokens: job.submission.items[job.place].expected_tokens,
-        drafted: job.progress.events.len() as u32,
-        is_whole: job.progress.whole,
+        events_done: job.progress.events.len() as u32,
+        is_text_complete: job.progress.whole,
     }
 }
 
--- a/crates/policy/src/slack.rs
+++ b/crates/policy/src/slack.rs
@@ -42,9 +42,9 @@
     /// Length hint: the trainer's estimate of the answer length in tokens; 0 if there is none.
     pub expected_tokens: u32,
     /// Number of events generated so far.
-    pub drafted: u32,
+    pub events_done: u32,
     /// Whether its text is complete and only its score is missing.
-    pub is_whole: bool,
+    pub is_text_complete: bool,
 }
 
 /// A step of a trainer that has not ended.
@@ -121,17 +121,17 @@
         }
     }
 
-    /// Expected number of further events of a sample with this hint, or 0, and `drafted` events.
+    /// Expected number of further events of a sample with this hint, or 0, and `events_done` events.
     #[must_use]
-    pub fn remaining_events(&self, expected_tokens: u32, drafted: u32) -> f64 {
-        let drafted = f64::from(drafted);
+    pub fn remaining_events(&self, expected_tokens: u32, events_done: u32) -> f64 {
+        let events_done = f64::from(events_done);
         // Lengths vary widely: the longer a sample has run, the longer it will still run.
-        let unhinted = self.mean_events().max(drafted);
+        let unhinted = self.mean_events().max(events_done);
         let hinted = f64::from(expected_tokens) * self.events_per_token();
-        if hinted <= drafted {
+        if hinted <= events_done {
             return unhinted;
         }
-        HINT_TRUST * (hinted - drafted) + (1.0 - HINT_TRUST) * unhinted
+        HINT_TRUST * (hinted - events_done) + (1.0 - HINT_TRUST) * unhinted
     }
 
     fn mean_events(&self) -> f64 {
@@ -173,10 +173,10 @@
 ) -> Vec<SampleOrder> {
     let event = event.unwrap_or(INITIAL_EVENT_TIME);
     let remaining_of = |sample: &OpenSample| {
-        if sample.is_whole {
+        if sample.is_text_complete {
             return Duration::ZERO;
         }
-        event.mul_f64(lengths.remaining_events(sample.expected_tokens, sample.drafted))
+        event.mul_f64(lengths.remaining_events(sample.expected_tokens, sample.events_done))
     };
     let remaining: Vec<Duration> = step.samples.iter().map(remaining_of).collect();
     let surplus = surplus_groups(step, &remaining, event, lengths.mean_events());
@@ -237,8 +237,8 @@
             at
         });
         open[at].longest = open[at].longest.max(*remaining);
-        open[at].spent += event * sample.drafted;
-        open[at].has_long_sample |= f64::from(sample.drafted) > mean_events;
+        open[at].spent += event * sample.events_done;
+        open[at].has_long_sample |= f64::from(sample.events_done) > mean_events;
     }
     open.retain(|state| state.has_long_sample);
     open.sort_by_key(|state| Reverse((state.longest.saturating_sub(state.spent), state.group)));
--- a/crates/policy/tests/slack.rs
+++ b/crates/policy/tests/slack.rs
@@ -10,12 +10,12 @@
 const DUE: Duration = Duration::from_millis(7_500);
 const EVENT: Duration = Duration::from_micros(49_700);
 
-fn open(group: usize, expected_tokens: u32, drafted: u32) -> OpenSample {
+fn open(group: usize, expected_tokens: u32, events_done: u32) -> OpenSample {
     OpenSample {
         group,
         expected_tokens,
-        drafted,
-        is_whole: false,
+        events_done,
+        is_text_complete: false,
     }
 }
 
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -54,7 +54,7 @@
     group: usize,
     hint_tokens: u32,
     length_events: u32,
-    drafted: u32,
+    events_done: u32,
     next_event: Option<Instant>,
     is_done: bool,
     /// Time from the acceptance of its step to its first start; `None` until it has started.
@@ -94,7 +94,7 @@
             group: index / GROUP_SAMPLES,
             hint_tokens: hinted_events * TOKENS_PER_EVENT,
             length_events,
-            drafted: 0,
+            events_done: 0,
             next_event: None,
             is_done: false,
             waited_ms: None,
@@ -230,8 +230,8 @@
             let sample = |key: &usize| OpenSample {
                 group: self.samples[*key].group,
                 expected_tokens: self.samples[*key].hint_tokens,
-                drafted: self.samples[*key].drafted,
-                is_whole: false,
+                events_done: self.samples[*key].events_done,
+                is_text_complete: false,
             };
             let samples: Vec<OpenSample> = open.iter().map(sample).collect();
             let open_step = OpenStep {
@@ -260,10 +260,10 @@
             let Some(next) = sample.next_event.filter(|next| *next <= now) else {
                 continue;
             };
-            sample.drafted += 1;
+            sample.events_done += 1;
             sample.next_event = Some(next + EVENT);
             self.placement.record_event(next, SampleKey(key as u64));
-            if sample.drafted == sample.length_events {
+            if sample.events_done == sample.length_events {
                 sample.is_done = true;
                 self.lengths
                     .record_ended(sample.hint_tokens, sample.length_events);
