--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -10,7 +10,7 @@
 use firweir_policy::placement::Placement;
 use firweir_policy::placement::SampleKey;
 use firweir_policy::slack::LengthEstimator;
-use firweir_policy::slack::SampleOrder;
+use firweir_policy::slack::SampleRank;
 use firweir_policy::step_order::Sample;
 use firweir_policy::step_order::ranks;
 use firweir_policy::work::UpstreamKey;
@@ -42,7 +42,7 @@
     /// Number of groups in its step.
     pub(crate) groups: usize,
     /// Its position by slack, which replaces `rank`; `None` if samples are not ordered by slack.
-    pub(crate) by_slack: Option<SampleOrder>,
+    pub(crate) by_slack: Option<SampleRank>,
     /// Its slack in milliseconds at its first start; `None` before that, or if samples are not
     /// ordered by slack.
     pub(crate) first_slack_ms: Option<i64>,
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -8,8 +8,8 @@
 use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
-use firweir_policy::slack::SampleOrder;
-use firweir_policy::slack::order_of;
+use firweir_policy::slack::SampleRank;
+use firweir_policy::slack::rank_by_slack;
 use firweir_policy::slack::slack_ms;
 
 use crate::draft_jobs::FleetSeen;
@@ -105,7 +105,7 @@
         lengths: &LengthEstimator,
         event: Option<Duration>,
         now: Instant,
-    ) -> Vec<SampleOrder> {
+    ) -> Vec<SampleRank> {
         let Some(first) = step.first() else {
             return Vec::new();
         };
@@ -120,7 +120,7 @@
             groups: first.groups,
             samples: &samples,
         };
-        order_of(&step, lengths, event)
+        rank_by_slack(&step, lengths, event)
     }
 
     /// Time from the accept of a step until it is due, and its current age.
--- a/crates/policy/src/slack.rs
+++ b/crates/policy/src/slack.rs
@@ -66,7 +66,7 @@
 
 /// Rank of a sample among those that wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SampleOrder {
+pub struct SampleRank {
     /// Latest start time in milliseconds since the Unix epoch; the lowest goes first.
     pub rank: u64,
     /// Expected remaining time.
@@ -166,11 +166,11 @@
 /// The rank is the latest time at which a sample must start. It does not advance while the sample
 /// waits, so that newer steps overtake it only for a bounded time.
 #[must_use]
-pub fn order_of(
+pub fn rank_by_slack(
     step: &OpenStep<'_>,
     lengths: &LengthEstimator,
     event: Option<Duration>,
-) -> Vec<SampleOrder> {
+) -> Vec<SampleRank> {
     let event = event.unwrap_or(INITIAL_EVENT_TIME);
     let remaining_of = |sample: &OpenSample| {
         if sample.is_text_complete {
@@ -197,7 +197,7 @@
         let spread_ms = base_delay_ms / GROUP_SPREAD_DIVISOR;
         let group_ms = spread_ms * sample.group as u64 / step.groups.max(1) as u64;
         let due_at_ms = step.accepted_ms + due_ms + delay_ms + group_ms;
-        SampleOrder {
+        SampleRank {
             rank: due_at_ms.saturating_sub(remaining.as_millis() as u64),
             remaining: *remaining,
             is_surplus,
--- a/crates/policy/tests/slack.rs
+++ b/crates/policy/tests/slack.rs
@@ -5,7 +5,7 @@
 use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
-use firweir_policy::slack::order_of;
+use firweir_policy::slack::rank_by_slack;
 
 const DUE: Duration = Duration::from_millis(7_500);
 const EVENT: Duration = Duration::from_micros(49_700);
@@ -37,7 +37,7 @@
 }
 
 fn ranks_in(step: &OpenStep<'_>) -> Vec<u64> {
-    let ranks = order_of(step, &lengths(), Some(EVENT));
+    let ranks = rank_by_slack(step, &lengths(), Some(EVENT));
     ranks.into_iter().map(|sample| sample.rank).collect()
 }
 
@@ -74,7 +74,7 @@
 #[test]
 fn a_group_carried_over_is_never_surplus() {
     let samples = [open(0, 16, 100), open(0, 16, 0)];
-    let ranks = order_of(&open_step(&samples, 0, 1_000), &lengths(), Some(EVENT));
+    let ranks = rank_by_slack(&open_step(&samples, 0, 1_000), &lengths(), Some(EVENT));
     assert!(ranks.iter().all(|sample| !sample.is_surplus));
 }
 
@@ -105,7 +105,7 @@
         let samples = [open(0, 0, 0)];
         let mut step = open_step(&samples, accepted_ms, 0);
         step.due = Duration::ZERO;
-        order_of(&step, &lengths, None)[0].rank
+        rank_by_slack(&step, &lengths, None)[0].rank
     };
     assert!(rank(10_000) < rank(11_000));
 }
@@ -120,7 +120,7 @@
         lengths.record_ended(0, 21);
     }
     let samples = [open(0, 0, 0), open(1, 1_000, 0)];
-    let ranks = order_of(&open_step(&samples, 0, 0), &lengths, Some(EVENT));
+    let ranks = rank_by_slack(&open_step(&samples, 0, 0), &lengths, Some(EVENT));
     assert!(ranks.iter().all(|sample| sample.remaining < DUE));
     assert!((lengths.remaining_events(1_000, 0) - before).abs() < 1.0);
 }
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -13,7 +13,7 @@
 use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
-use firweir_policy::slack::order_of;
+use firweir_policy::slack::rank_by_slack;
 use firweir_policy::step_order::Sample;
 use firweir_policy::step_order::ranks;
 use firweir_policy::work::UpstreamKey;
@@ -242,7 +242,7 @@
                 groups: GROUPS,
                 samples: &samples,
             };
-            let ranks = order_of(
+            let ranks = rank_by_slack(
                 &open_step,
                 &self.lengths,
                 self.placement.median_event_time(),
