--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_policy::longest_first::Sample;
+use firweir_policy::longest_first::ranks;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::MoveReason;
 use firweir_policy::placement::Placement;
 use firweir_policy::placement::SampleKey;
 use firweir_policy::slack::LengthEstimator;
 use firweir_policy::slack::SampleRank;
-use firweir_policy::step_order::Sample;
-use firweir_policy::step_order::ranks;
 use firweir_policy::work::UpstreamKey;
 use tokio::sync::Notify;
 
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -4,6 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_policy::longest_first::Sample;
+use firweir_policy::longest_first::ranks;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
@@ -14,8 +16,6 @@
 use firweir_policy::slack::OpenSample;
 use firweir_policy::slack::OpenStep;
 use firweir_policy::slack::rank_by_slack;
-use firweir_policy::step_order::Sample;
-use firweir_policy::step_order::ranks;
 use firweir_policy::work::UpstreamKey;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -2,10 +2,10 @@
 
 use std::cmp::Reverse;
 
+use firweir_policy::longest_first::Sample;
+use firweir_policy::longest_first::ranks;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::pool::rendezvous_hash;
-use firweir_policy::step_order::Sample;
-use firweir_policy::step_order::ranks;
 use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::EngineWeights;
 use firweir_policy::weight_loads::Lag;
