--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use firweir_policy::longest_first::Sample;
-use firweir_policy::longest_first::ranks;
+use firweir_policy::longest_first::rank_by_length;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::MoveReason;
 use firweir_policy::placement::Placement;
@@ -180,7 +180,7 @@
     };
     let samples: Vec<Sample> = submission.items.iter().zip(groups).map(sample).collect();
     let target = submission.head.target_groups as usize;
-    ranks(&samples, target, submission.head.accepted_ms)
+    rank_by_length(&samples, target, submission.head.accepted_ms)
 }
 
 impl Job {
--- a/crates/policy/src/longest_first.rs
+++ b/crates/policy/src/longest_first.rs
@@ -29,7 +29,7 @@
 /// Groups carried over from an earlier step have the lowest indices, are at most half of
 /// `target_groups`, and are never surplus.
 #[must_use]
-pub fn ranks(samples: &[Sample], target_groups: usize, accepted_ms: u64) -> Vec<u64> {
+pub fn rank_by_length(samples: &[Sample], target_groups: usize, accepted_ms: u64) -> Vec<u64> {
     let groups = samples
         .iter()
         .map(|sample| sample.group + 1)
--- a/crates/policy/tests/slack_played.rs
+++ b/crates/policy/tests/slack_played.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use firweir_policy::longest_first::Sample;
-use firweir_policy::longest_first::ranks;
+use firweir_policy::longest_first::rank_by_length;
 use firweir_policy::placement::EngineState;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::placement::Placement;
@@ -198,7 +198,7 @@
             })
             .collect();
         let ranks = match self.order {
-            Order::LongFirst => ranks(&samples, TARGET_GROUPS, accepted_ms),
+            Order::LongFirst => rank_by_length(&samples, TARGET_GROUPS, accepted_ms),
             Order::Arrival | Order::Slack => vec![accepted_ms; samples.len()],
         };
         self.lengths
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use firweir_policy::longest_first::Sample;
-use firweir_policy::longest_first::ranks;
+use firweir_policy::longest_first::rank_by_length;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::pool::rendezvous_hash;
 use firweir_policy::weight_loads::Division;
@@ -239,7 +239,7 @@
             expected_tokens: *expected_tokens,
         };
         let samples: Vec<Sample> = case.samples.iter().map(sample).collect();
-        let ranks = ranks(&samples, case.target_groups, 1_000);
+        let ranks = rank_by_length(&samples, case.target_groups, 1_000);
         let mut order: Vec<usize> = (0..samples.len()).collect();
         order.sort_by_key(|at| ranks[*at]);
         assert_eq!(order, case.expected, "{}", case.name);
