--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -34,14 +34,14 @@
     FleetSlice::for_pool(engines, SETS * engines_per_version)
 }
 
-/// Position of an engine in the order of a model's engines, from the hashes of their names.
+/// Hash by which the engines of a model are ordered, from the hashes of both names.
 #[must_use]
 pub const fn rendezvous_hash(engine: u64, model: u64) -> u64 {
     splitmix64(engine ^ splitmix64(model))
 }
 
-/// Beginning of a model's order of engines: all engines whose position has at least so many
-/// leading zero bits.
+/// Beginning of a model's order of engines: all engines whose [`rendezvous_hash`] has at least
+/// so many leading zero bits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FleetSlice {
     /// Number of leading zero bits; 0 for the whole fleet.
@@ -60,9 +60,9 @@
         Self { leading_zeros }
     }
 
-    /// Whether an engine at this position belongs to the slice.
+    /// Whether an engine with this [`rendezvous_hash`] belongs to the slice.
     #[must_use]
-    pub const fn contains(self, order: u64) -> bool {
-        order.leading_zeros() >= self.leading_zeros
+    pub const fn contains(self, hash: u64) -> bool {
+        hash.leading_zeros() >= self.leading_zeros
     }
 }
