--- a/crates/firweir/src/process/entry.rs
+++ b/crates/firweir/src/process/entry.rs
@@ -13,8 +13,8 @@
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::straggler::REPORT_EVERY;
-use firweir_policy::suspect::Reported;
-use firweir_policy::suspect::Standing;
+use firweir_policy::suspect::Isolation;
+use firweir_policy::suspect::LossReport;
 use firweir_policy::suspect::Suspects;
 use http::Method;
 use http::Request;
@@ -188,7 +188,7 @@
         let reports = self.suspects().reports(self.now(), 0);
         let suspects = reports.iter().map(|reported| Suspect {
             fingerprint: reported.fingerprint,
-            upstreams_lost: reported.lost,
+            upstreams_lost: reported.losses,
         });
         Observed {
             suspects: suspects.collect(),
@@ -206,13 +206,13 @@
         let reports = others.flat_map(|observed| {
             let node = xxh3_64(observed.node.as_bytes());
             let suspects = observed.suspects.iter();
-            suspects.map(move |suspect| Reported {
+            suspects.map(move |suspect| LossReport {
                 fingerprint: suspect.fingerprint,
                 node,
-                lost: suspect.upstreams_lost,
+                losses: suspect.upstreams_lost,
             })
         });
-        self.suspects().take_reports(reports.collect());
+        self.suspects().set_reports(reports.collect());
     }
 
     /// Notes that an upstream was lost with this request in flight. From the second
@@ -223,11 +223,11 @@
     pub fn note_loss(&self, fingerprint: u64) {
         let now = self.now();
         let mut suspects = self.suspects();
-        let upstreams_lost = suspects.lost(now, fingerprint);
+        let upstreams_lost = suspects.record_loss(now, fingerprint);
         // Counted over all VMs: the third loss is the first one here.
-        let standing = suspects.standing(now, fingerprint);
+        let isolation = suspects.isolation(now, fingerprint);
         drop(suspects);
-        if standing == Standing::Free {
+        if isolation == Isolation::Free {
             return;
         }
         let suspect = Suspect {
@@ -490,12 +490,12 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let suspect = params.get_suspect()?;
-        let notice = Reported {
+        let notice = LossReport {
             fingerprint: suspect.get_fingerprint(),
             node: xxh3_64(params.get_node()?.as_bytes()),
-            lost: suspect.get_upstreams_lost(),
+            losses: suspect.get_upstreams_lost(),
         };
-        self.entry.suspects().take_notice(self.entry.now(), notice);
+        self.entry.suspects().add_notice(self.entry.now(), notice);
         Ok(())
     }
 }
--- a/crates/firweir/src/request/call.rs
+++ b/crates/firweir/src/request/call.rs
@@ -10,8 +10,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use firweir_policy::suspect::SPREAD_TIME;
-use firweir_policy::suspect::Standing;
+use firweir_policy::suspect::Isolation;
+use firweir_policy::suspect::PROPAGATION_TIME;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::UpstreamKey;
@@ -237,16 +237,18 @@
         entry: &'a Entry,
         may_have_run: bool,
     ) -> Result<Option<SemaphorePermit<'a>>, Refused> {
-        let standing = entry.suspects().standing(entry.now(), self.fingerprint);
-        let (reason, retry_after) = match standing {
-            Standing::Free => return Ok(None),
-            Standing::Quarantined(clear) => ("quarantined", clear),
+        let isolation = entry.suspects().isolation(entry.now(), self.fingerprint);
+        let (reason, retry_after) = match isolation {
+            Isolation::Free => return Ok(None),
+            Isolation::Quarantined(clear) => ("quarantined", clear),
             // No retry here: its third loss must be the last of the fleet.
-            Standing::Alone if may_have_run => ("suspect", SPREAD_TIME),
-            Standing::Alone => match within(self.remaining(entry), entry.alone().acquire()).await {
-                Some(Ok(alone)) => return Ok(Some(alone)),
-                Some(Err(_)) | None => ("suspect", SPREAD_TIME),
-            },
+            Isolation::Alone if may_have_run => ("suspect", PROPAGATION_TIME),
+            Isolation::Alone => {
+                match within(self.remaining(entry), entry.alone().acquire()).await {
+                    Some(Ok(alone)) => return Ok(Some(alone)),
+                    Some(Err(_)) | None => ("suspect", PROPAGATION_TIME),
+                }
+            }
         };
         Err(if may_have_run {
             Refused::unknown(reason, retry_after)
@@ -258,7 +260,7 @@
     /// Notes whether an upstream survived this call.
     pub(in crate::request) fn note_ending(&self, entry: &Entry, ending: Ending) {
         match ending {
-            Ending::Answered => entry.suspects().answered(self.fingerprint),
+            Ending::Answered => entry.suspects().clear(self.fingerprint),
             Ending::Failed => entry.note_loss(self.fingerprint),
             Ending::Unreachable | Ending::Abandoned | Ending::Refused => {}
         }
@@ -310,7 +312,7 @@
         }
         let ending = match sent {
             Some(Ok(Ok(whole))) if !whole.status().is_server_error() => {
-                entry.suspects().answered(self.fingerprint);
+                entry.suspects().clear(self.fingerprint);
                 permit.finish(
                     Ending::Answered,
                     (whole.body().len() / BYTES_PER_TOKEN) as u32,
--- a/crates/policy/src/suspect.rs
+++ b/crates/policy/src/suspect.rs
@@ -14,29 +14,29 @@
 
 /// Losses from which a request runs only without other suspects. Every request in flight at a
 /// crash has one loss; two by chance are rare.
-pub const ALONE_FROM: u32 = 2;
+pub const LOSSES_TO_ISOLATE: u32 = 2;
 
 /// Losses from which a request is quarantined: users accept the loss of three upstreams in the
 /// whole fleet.
-pub const QUARANTINE_FROM: u32 = 3;
+pub const LOSSES_TO_QUARANTINE: u32 = 3;
 
 /// Time from its last loss after which a request is no longer suspected: the upstreams may have
 /// been repaired, and a caller that still resends the request costs at most three more.
-pub const CLEAR_AFTER: Duration = Duration::from_secs(600);
+pub const SUSPICION_EXPIRY: Duration = Duration::from_secs(600);
 
 /// Maximum number of suspects; beyond it, the one with the oldest loss is dropped. A crash makes
 /// suspects of all requests in flight at the upstream, some hundreds.
-pub const SUSPECTS: usize = 4_096;
+pub const MAX_SUSPECTS: usize = 4_096;
 
 /// Time for which a notice counts; the regular report of the same losses has arrived by then.
 const NOTICE_VALID_FOR: Duration = Duration::from_secs(30);
 
-/// Retry delay of a request with [`ALONE_FROM`] losses: meanwhile the counts reach all VMs.
-pub const SPREAD_TIME: Duration = Duration::from_secs(5);
+/// Retry delay of a request with [`LOSSES_TO_ISOLATE`] losses: meanwhile the counts reach all VMs.
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
 /// Restriction under which a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Isolation {
     /// Without restriction.
     Free,
     /// With no other suspect at the same time, and without a retry.
@@ -51,45 +51,45 @@
     /// Losses seen on this VM, sorted by fingerprint.
     own: Vec<Suspect>,
     /// Losses that other VMs report regularly, sorted by fingerprint and VM.
-    others: Vec<Reported>,
+    others: Vec<LossReport>,
     /// Losses that other VMs sent at once, ahead of their regular reports, by time of arrival.
-    notices: Vec<(Instant, Reported)>,
+    notices: Vec<(Instant, LossReport)>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Suspect {
     fingerprint: u64,
-    lost: u32,
+    losses: u32,
     last_loss: Instant,
 }
 
 /// Losses of one request, as counted by one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Reported {
+pub struct LossReport {
     /// Hash of the request.
     pub fingerprint: u64,
     /// Hash of the VM that counts them.
     pub node: u64,
     /// Upstreams lost while it was in flight there.
-    pub lost: u32,
+    pub losses: u32,
 }
 
 impl Suspects {
     /// Records that an upstream was lost while the request was in flight there. Returns the
     /// losses of the request seen on this VM.
-    pub fn lost(&mut self, now: Instant, fingerprint: u64) -> u32 {
+    pub fn record_loss(&mut self, now: Instant, fingerprint: u64) -> u32 {
         self.drop_expired(now);
         match self.find(fingerprint) {
             Ok(found) => {
                 let suspect = &mut self.own[found];
-                suspect.lost += 1;
+                suspect.losses += 1;
                 suspect.last_loss = now;
-                suspect.lost
+                suspect.losses
             }
             Err(index) => {
                 let suspect = Suspect {
                     fingerprint,
-                    lost: 1,
+                    losses: 1,
                     last_loss: now,
                 };
                 self.own.insert(index, suspect);
@@ -100,54 +100,55 @@
     }
 
     /// Clears the request after a full answer: it did not cause the losses.
-    pub fn answered(&mut self, fingerprint: u64) {
+    pub fn clear(&mut self, fingerprint: u64) {
         if let Ok(found) = self.find(fingerprint) {
             self.own.remove(found);
         }
     }
 
     /// Replaces the reports of other VMs; `reports` may be in any order.
-    pub fn take_reports(&mut self, mut reports: Vec<Reported>) {
+    pub fn set_reports(&mut self, mut reports: Vec<LossReport>) {
         reports.sort_unstable();
         self.others = reports;
     }
 
     /// Adds a notice that another VM sent ahead of its report.
-    pub fn take_notice(&mut self, now: Instant, notice: Reported) {
+    pub fn add_notice(&mut self, now: Instant, notice: LossReport) {
         self.notices
             .retain(|(received_at, _)| now < *received_at + NOTICE_VALID_FOR);
-        if self.notices.len() < SUSPECTS {
+        if self.notices.len() < MAX_SUSPECTS {
             self.notices.push((now, notice));
         }
     }
 
     /// Restriction under which the request may run now.
     #[must_use]
-    pub fn standing(&self, now: Instant, fingerprint: u64) -> Standing {
+    pub fn isolation(&self, now: Instant, fingerprint: u64) -> Isolation {
         let own = self.find(fingerprint).ok().map(|found| self.own[found]);
-        let own = own.filter(|suspect| now < suspect.last_loss + CLEAR_AFTER);
-        let lost = own.map_or(0, |suspect| suspect.lost) + self.losses_elsewhere(now, fingerprint);
-        if lost >= QUARANTINE_FROM {
-            let until = own.map_or(now, |suspect| suspect.last_loss) + CLEAR_AFTER;
-            Standing::Quarantined(until.saturating_duration_since(now))
-        } else if lost >= ALONE_FROM {
-            Standing::Alone
+        let own = own.filter(|suspect| now < suspect.last_loss + SUSPICION_EXPIRY);
+        let losses =
+            own.map_or(0, |suspect| suspect.losses) + self.losses_elsewhere(now, fingerprint);
+        if losses >= LOSSES_TO_QUARANTINE {
+            let until = own.map_or(now, |suspect| suspect.last_loss) + SUSPICION_EXPIRY;
+            Isolation::Quarantined(until.saturating_duration_since(now))
+        } else if losses >= LOSSES_TO_ISOLATE {
+            Isolation::Alone
         } else {
-            Standing::Free
+            Isolation::Free
         }
     }
 
     /// Reports for other VMs; `node` is the hash of this VM.
     #[must_use]
-    pub fn reports(&self, now: Instant, node: u64) -> Vec<Reported> {
+    pub fn reports(&self, now: Instant, node: u64) -> Vec<LossReport> {
         let current = self
             .own
             .iter()
-            .filter(|suspect| now < suspect.last_loss + CLEAR_AFTER);
-        let reported = current.map(|suspect| Reported {
+            .filter(|suspect| now < suspect.last_loss + SUSPICION_EXPIRY);
+        let reported = current.map(|suspect| LossReport {
             fingerprint: suspect.fingerprint,
             node,
-            lost: suspect.lost,
+            losses: suspect.losses,
         });
         reported.collect()
     }
@@ -159,19 +160,19 @@
             .partition_point(|reported| reported.fingerprint < fingerprint);
         let reported = self.others[start..].iter().copied();
         let current =
-            |(received_at, _): &&(Instant, Reported)| now < *received_at + NOTICE_VALID_FOR;
+            |(received_at, _): &&(Instant, LossReport)| now < *received_at + NOTICE_VALID_FOR;
         let noticed = self
             .notices
             .iter()
             .filter(current)
             .map(|(_, notice)| *notice);
-        let mut counts: Vec<Reported> = reported
+        let mut counts: Vec<LossReport> = reported
             .take_while(|reported| reported.fingerprint == fingerprint)
             .chain(noticed.filter(|notice| notice.fingerprint == fingerprint))
             .collect();
-        counts.sort_unstable_by_key(|count| (count.node, std::cmp::Reverse(count.lost)));
+        counts.sort_unstable_by_key(|count| (count.node, std::cmp::Reverse(count.losses)));
         counts.dedup_by_key(|count| count.node);
-        counts.iter().map(|count| count.lost).sum()
+        counts.iter().map(|count| count.losses).sum()
     }
 
     fn find(&self, fingerprint: u64) -> Result<usize, usize> {
@@ -181,11 +182,11 @@
 
     fn drop_expired(&mut self, now: Instant) {
         self.own
-            .retain(|suspect| now < suspect.last_loss + CLEAR_AFTER);
+            .retain(|suspect| now < suspect.last_loss + SUSPICION_EXPIRY);
     }
 
     fn drop_oldest(&mut self) {
-        if self.own.len() <= SUSPECTS {
+        if self.own.len() <= MAX_SUSPECTS {
             return;
         }
         let suspects = self.own.iter().enumerate();
--- a/crates/policy/tests/suspect.rs
+++ b/crates/policy/tests/suspect.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::suspect::CLEAR_AFTER;
-use firweir_policy::suspect::Reported;
-use firweir_policy::suspect::SUSPECTS;
-use firweir_policy::suspect::Standing;
+use firweir_policy::suspect::Isolation;
+use firweir_policy::suspect::LossReport;
+use firweir_policy::suspect::MAX_SUSPECTS;
+use firweir_policy::suspect::SUSPICION_EXPIRY;
 use firweir_policy::suspect::Suspects;
 
 const REQUEST: u64 = 7;
@@ -21,18 +21,18 @@
     Wait(Duration),
 }
 
-const fn report(node: u64, lost: u32) -> Reported {
-    Reported {
+const fn report(node: u64, losses: u32) -> LossReport {
+    LossReport {
         fingerprint: REQUEST,
         node,
-        lost,
+        losses,
     }
 }
 
-struct StandingCase {
+struct IsolationCase {
     name: &'static str,
     events: &'static [Event],
-    standing: Standing,
+    isolation: Isolation,
 }
 
 /// Guards against a request that crashes one upstream after another, and against quarantine of
@@ -40,60 +40,60 @@
 #[test]
 fn a_request_is_tried_alone_then_quarantined_then_cleared() {
     let cases = [
-        StandingCase {
+        IsolationCase {
             name: "one crash makes no suspect of all that ran there",
             events: &[Event::Lost],
-            standing: Standing::Free,
+            isolation: Isolation::Free,
         },
-        StandingCase {
+        IsolationCase {
             name: "two crashes",
             events: &[Event::Lost, Event::Lost],
-            standing: Standing::Alone,
+            isolation: Isolation::Alone,
         },
-        StandingCase {
+        IsolationCase {
             name: "two crashes, one of them at another VM",
             events: &[Event::Lost, Event::Reports(1, 0)],
-            standing: Standing::Alone,
+            isolation: Isolation::Alone,
         },
-        StandingCase {
+        IsolationCase {
             name: "a bystander of two crashes is answered",
             events: &[Event::Lost, Event::Lost, Event::Answered],
-            standing: Standing::Free,
+            isolation: Isolation::Free,
         },
-        StandingCase {
+        IsolationCase {
             name: "three crashes",
             events: &[Event::Lost, Event::Lost, Event::Lost],
-            standing: Standing::Quarantined(CLEAR_AFTER),
+            isolation: Isolation::Quarantined(SUSPICION_EXPIRY),
         },
-        StandingCase {
+        IsolationCase {
             name: "three crashes, all at other VMs",
             events: &[Event::Reports(2, 1)],
-            standing: Standing::Quarantined(CLEAR_AFTER),
+            isolation: Isolation::Quarantined(SUSPICION_EXPIRY),
         },
-        StandingCase {
+        IsolationCase {
             name: "a notice and the report that follows it are one count",
             events: &[Event::Notice(2), Event::Reports(2, 0)],
-            standing: Standing::Alone,
+            isolation: Isolation::Alone,
         },
-        StandingCase {
+        IsolationCase {
             name: "a notice arrives before a report",
             events: &[Event::Notice(2), Event::Reports(1, 1)],
-            standing: Standing::Quarantined(CLEAR_AFTER),
+            isolation: Isolation::Quarantined(SUSPICION_EXPIRY),
         },
-        StandingCase {
+        IsolationCase {
             name: "the other VMs have cleared it",
             events: &[Event::Reports(2, 1), Event::Reports(0, 0)],
-            standing: Standing::Free,
+            isolation: Isolation::Free,
         },
-        StandingCase {
+        IsolationCase {
             name: "quarantine ends",
             events: &[
                 Event::Lost,
                 Event::Lost,
                 Event::Lost,
-                Event::Wait(CLEAR_AFTER),
+                Event::Wait(SUSPICION_EXPIRY),
             ],
-            standing: Standing::Free,
+            isolation: Isolation::Free,
         },
     ];
     for case in cases {
@@ -101,18 +101,18 @@
         let mut suspects = Suspects::default();
         for event in case.events {
             match event {
-                Event::Lost => _ = suspects.lost(now, REQUEST),
-                Event::Answered => suspects.answered(REQUEST),
+                Event::Lost => _ = suspects.record_loss(now, REQUEST),
+                Event::Answered => suspects.clear(REQUEST),
                 Event::Reports(first, second) => {
-                    suspects.take_reports(vec![report(1, *first), report(2, *second)]);
+                    suspects.set_reports(vec![report(1, *first), report(2, *second)]);
                 }
-                Event::Notice(lost) => suspects.take_notice(now, report(1, *lost)),
+                Event::Notice(losses) => suspects.add_notice(now, report(1, *losses)),
                 Event::Wait(time) => now += *time,
             }
         }
         assert_eq!(
-            suspects.standing(now, REQUEST),
-            case.standing,
+            suspects.isolation(now, REQUEST),
+            case.isolation,
             "{}",
             case.name
         );
@@ -123,8 +123,8 @@
 fn suspects_are_bounded() {
     let start = Instant::now();
     let mut suspects = Suspects::default();
-    for number in 0..SUSPECTS as u64 + 100 {
-        _ = suspects.lost(start + Duration::from_millis(number), number);
+    for number in 0..MAX_SUSPECTS as u64 + 100 {
+        _ = suspects.record_loss(start + Duration::from_millis(number), number);
     }
-    assert_eq!(suspects.reports(start, 0).len(), SUSPECTS);
+    assert_eq!(suspects.reports(start, 0).len(), MAX_SUSPECTS);
 }
