--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -1,7 +1,7 @@
 //! Scores of whole texts: one call of a plain service for each, through the routes that
 //! callers use, sent again elsewhere until it has an answer.
 //!
-//! When a call starts, and where, is decided by [`Background`], so that the calls of a
+//! When a call starts, and where, is decided by [`BackgroundDispatcher`], so that the calls of a
 //! step do not crowd out callers of the same service.
 
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use firweir::connection::client::within;
 use firweir::request::gate::Ask;
 use firweir::request::gate::Permit;
-use firweir_policy::background::Background;
+use firweir_policy::background::BackgroundDispatcher;
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
@@ -84,11 +84,11 @@
 }
 
 fn background() -> Box<dyn Dispatcher> {
-    Box::new(Background::new())
+    Box::new(BackgroundDispatcher::new())
 }
 
 fn unpaced() -> Box<dyn Dispatcher> {
-    Box::new(Background::unpaced())
+    Box::new(BackgroundDispatcher::unpaced())
 }
 
 impl Scoring {
--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -72,7 +72,7 @@
 /// The deadline of a call is the due time of its step. A call past its deadline is not
 /// refused: it starts as soon as a slot is free.
 #[derive(Debug, Default)]
-pub struct Background {
+pub struct BackgroundDispatcher {
     /// Sorted by key.
     upstreams: Vec<Upstream>,
     /// Sorted by deadline, then key.
@@ -163,7 +163,7 @@
     }
 }
 
-impl Background {
+impl BackgroundDispatcher {
     /// A paced dispatcher without upstreams.
     #[must_use]
     pub fn new() -> Self {
@@ -305,7 +305,7 @@
     }
 }
 
-impl Dispatcher for Background {
+impl Dispatcher for BackgroundDispatcher {
     fn set_upstreams(
         &mut self,
         now: Instant,
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -308,7 +308,7 @@
         self.slots.set_upstreams(now, upstreams, entries);
         self.upstreams = upstreams.to_vec();
         if let Some(occupancy) = &mut self.occupancy {
-            occupancy.set(upstreams);
+            occupancy.set_upstreams(upstreams);
         }
         for running in &self.running {
             self.slots.count_in_flight(running.upstream);
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -100,7 +100,7 @@
         }
         self.occupancy = shared.map(Occupancy::new);
         if let Some(occupancy) = &mut self.occupancy {
-            occupancy.set(&self.upstreams);
+            occupancy.set_upstreams(&self.upstreams);
         }
         self.start_waiting(now);
     }
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -104,7 +104,7 @@
     }
 
     /// Sets the upstreams. State of those that are missing or leaving is discarded.
-    pub fn set(&mut self, upstreams: &[UpstreamState]) {
+    pub fn set_upstreams(&mut self, upstreams: &[UpstreamState]) {
         let staying = upstreams.iter().filter(|state| !state.leaving);
         let mut updated: Vec<UpstreamRoom> =
             staying.map(|state| self.updated_state(state)).collect();
@@ -153,7 +153,7 @@
             return;
         };
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
-        upstream.note_report(now, finish.told);
+        upstream.record_report(now, finish.told);
         match finish.ending {
             Ending::Refused => upstream.refused(now, factor),
             Ending::Answered => upstream.answered(now, finish),
@@ -315,7 +315,7 @@
         Some(reported.at + drained.min(REPORT_VALID_FOR))
     }
 
-    fn note_report(&mut self, now: Instant, reported: Option<ToldLoad>) {
+    fn record_report(&mut self, now: Instant, reported: Option<ToldLoad>) {
         if let Some(load) = reported {
             self.reported = Some(Report { load, at: now });
             self.started_since_report = 0;
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::background::Background;
+use firweir_policy::background::BackgroundDispatcher;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::route::splitmix64;
@@ -142,7 +142,9 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut upstreams: Vec<Upstream> = (0..load.upstreams).map(|_| Upstream::default()).collect();
-    let mut senders: Vec<Background> = (0..load.senders).map(|_| Background::new()).collect();
+    let mut senders: Vec<BackgroundDispatcher> = (0..load.senders)
+        .map(|_| BackgroundDispatcher::new())
+        .collect();
     for sender in &mut senders {
         sender.set_upstreams(start, &states(load), &EntryDemands::SINGLE_ENTRY);
         (0..load.calls).for_each(|key| sender.offer(start, work(key, at(load.due_ms))));
@@ -333,7 +335,7 @@
 fn a_failing_upstream_is_left_alone() {
     let now = Instant::now();
     let load = Load::step();
-    let mut sender = Background::new();
+    let mut sender = BackgroundDispatcher::new();
     sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
     let due = now + Duration::from_secs(6);
     (0..96).for_each(|key| sender.offer(now, work(key, due)));
@@ -372,12 +374,12 @@
         slots: 1,
         ..Load::step()
     };
-    let mut sender = Background::new();
+    let mut sender = BackgroundDispatcher::new();
     sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
     sender.offer(now, work(1, now + Duration::from_secs(5)));
     sender.offer(now, work(2, now + Duration::from_secs(9)));
     sender.offer(now, work(3, now));
-    let started = |sender: &mut Background| match sender.next_decision() {
+    let started = |sender: &mut BackgroundDispatcher| match sender.next_decision() {
         Some(Decision::Start { work, .. }) => Some(work),
         _ => None,
     };
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -50,7 +50,7 @@
 /// An occupancy whose only upstream has just refused a call.
 fn refused(now: Instant, waiting: Option<u32>) -> Occupancy {
     let mut occupancy = Occupancy::new(SEED);
-    occupancy.set(&[state(UPSTREAM)]);
+    occupancy.set_upstreams(&[state(UPSTREAM)]);
     occupancy.started(now, UPSTREAM);
     occupancy.ended(now, UPSTREAM, &ended(Ending::Refused, waiting));
     occupancy
@@ -73,7 +73,7 @@
     let now = Instant::now();
     let pause = |seed| {
         let mut occupancy = Occupancy::new(seed);
-        occupancy.set(&[state(UPSTREAM)]);
+        occupancy.set_upstreams(&[state(UPSTREAM)]);
         occupancy.started(now, UPSTREAM);
         occupancy.ended(now, UPSTREAM, &ended(Ending::Refused, None));
         occupancy.next_room(now)
@@ -87,7 +87,7 @@
 fn a_reported_load_expires() {
     let now = Instant::now();
     let mut occupancy = Occupancy::new(SEED);
-    occupancy.set(&[state(UPSTREAM)]);
+    occupancy.set_upstreams(&[state(UPSTREAM)]);
     occupancy.started(now, UPSTREAM);
     occupancy.ended(now, UPSTREAM, &ended(Ending::Answered, Some(10_000)));
     assert!(!occupancy.has_room(now, UPSTREAM));
@@ -100,10 +100,10 @@
     let now = Instant::now();
     let mut occupancy = refused(now, Some(24));
     let restarted = UpstreamKey(1);
-    occupancy.set(&[state(restarted)]);
+    occupancy.set_upstreams(&[state(restarted)]);
     assert!(occupancy.has_room(now, restarted));
     assert!(!occupancy.has_room(now, UPSTREAM));
-    occupancy.set(&[state(UPSTREAM)]);
+    occupancy.set_upstreams(&[state(UPSTREAM)]);
     assert!(occupancy.has_room(now, UPSTREAM));
 }
 
@@ -113,7 +113,7 @@
     let start = Instant::now();
     let mut now = start;
     let mut occupancy = Occupancy::new(SEED);
-    occupancy.set(&[state(UPSTREAM)]);
+    occupancy.set_upstreams(&[state(UPSTREAM)]);
     for _ in 0..4 {
         occupancy.started(now, UPSTREAM);
         now += CALL_TIME * 4;
