--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -17,7 +17,7 @@
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
 use firweir_policy::work::Refusal;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -268,7 +268,7 @@
             ending: Ending::Abandoned,
             elapsed: Duration::ZERO,
             tokens: 0,
-            told: None,
+            reported_load: None,
         };
         self.decide(|dispatcher, now| {
             dispatcher.cancel(now, key);
@@ -376,11 +376,11 @@
     }
 
     /// Reports how the request ended, and the load that the upstream told of.
-    pub fn finish_told(mut self, ending: Ending, told: Option<ToldLoad>) {
-        self.end(ending, 0, told);
+    pub fn finish_told(mut self, ending: Ending, reported_load: Option<ReportedLoad>) {
+        self.end(ending, 0, reported_load);
     }
 
-    fn end(&mut self, ending: Ending, tokens: u32, told: Option<ToldLoad>) {
+    fn end(&mut self, ending: Ending, tokens: u32, reported_load: Option<ReportedLoad>) {
         if !self.ended {
             self.ended = true;
             let elapsed = self.gate.clock.now().duration_since(self.started);
@@ -390,7 +390,7 @@
                     ending,
                     elapsed,
                     tokens,
-                    told,
+                    reported_load,
                 },
             );
         }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use firweir_policy::scaling::Supply;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use http::HeaderMap;
 use http::Request;
 use http::Response;
@@ -121,7 +121,7 @@
     /// Version of the weights that make the answer.
     pub version: Option<u64>,
     /// Load of the upstream, all its callers together.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
 }
 
 /// One event of an upstream's stream.
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use bytes::BytesMut;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use http::StatusCode;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -65,7 +65,7 @@
     /// Takes each event as it comes, with the version that made it.
     pub(crate) take_event: &'a (dyn Fn(StreamEvent, u64) + Send + Sync),
     /// Takes the load that the engine reports in the head of its answer.
-    pub(crate) take_load: &'a (dyn Fn(ToldLoad) + Send + Sync),
+    pub(crate) take_load: &'a (dyn Fn(ReportedLoad) + Send + Sync),
     pub(crate) submission: &'a LocalSubmission,
     pub(crate) item: &'a Item,
     pub(crate) upstream: &'a Upstream,
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -18,7 +18,7 @@
 use firweir_policy::placement::SampleKey;
 use firweir_policy::placement::SampleRequest;
 use firweir_policy::pool::engines_needed;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
@@ -679,7 +679,7 @@
     }
 
     /// Passes the load that an engine reported to the placement.
-    fn take_load(&self, engine: &Instance, load: ToldLoad) {
+    fn take_load(&self, engine: &Instance, load: ReportedLoad) {
         let Some(load) = self.shared.usable_load(Some(load)) else {
             return;
         };
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -14,7 +14,7 @@
 use firweir_policy::dispatch::Dispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use http::StatusCode;
 use http_body_util::BodyExt;
@@ -261,7 +261,7 @@
         &self,
         call: &RewardCall,
         exchange: Exchange,
-    ) -> (Attempt, Ending, Option<ToldLoad>) {
+    ) -> (Attempt, Ending, Option<ReportedLoad>) {
         let (head, body) = exchange.answer.into_parts();
         let said = self.shared.dialect.answer_head(&head);
         let whole = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -4,7 +4,7 @@
 
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 
 use crate::dialect::Dialect;
 use crate::duty::BootClock;
@@ -45,7 +45,7 @@
     /// The load that an upstream reported, without `time_percent` if [`Mechanism::ToldSpeed`] is
     /// off. `None` if it reported none.
     #[must_use]
-    pub fn usable_load(&self, load: Option<ToldLoad>) -> Option<ToldLoad> {
+    pub fn usable_load(&self, load: Option<ReportedLoad>) -> Option<ReportedLoad> {
         let mut load = load?;
         if !self.off.leaves(Mechanism::ToldSpeed) {
             load.time_percent = None;
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -79,7 +79,7 @@
             ending: Ending::Answered,
             elapsed: Duration::from_millis(500),
             tokens: 100,
-            told: None,
+            reported_load: None,
         };
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
             bencher.iter(|| {
--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -25,7 +25,7 @@
 use crate::work::EntryDemands;
 use crate::work::Finish;
 use crate::work::Refusal;
-use crate::work::ToldLoad;
+use crate::work::ReportedLoad;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
 use crate::work::Work;
@@ -140,7 +140,7 @@
         usable.min(left.max(1))
     }
 
-    fn record_load(&mut self, now: Instant, told: ToldLoad) {
+    fn record_load(&mut self, now: Instant, told: ReportedLoad) {
         let all = told.total();
         let others = all.saturating_sub(self.in_flight);
         self.others = Some((others, now));
@@ -371,11 +371,11 @@
         if let Some(index) = self.index_of(ended.upstream) {
             let upstream = &mut self.upstreams[index];
             // The reported load includes the request that this response answers.
-            if let Some(told) = finish.told {
+            if let Some(told) = finish.reported_load {
                 upstream.record_load(now, told);
             }
-            let is_full = |told: ToldLoad| told.total() > told.slots;
-            if finish.ending == Ending::Answered && !finish.told.is_some_and(is_full) {
+            let is_full = |told: ReportedLoad| told.total() > told.slots;
+            if finish.ending == Ending::Answered && !finish.reported_load.is_some_and(is_full) {
                 self.window += 1;
             }
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -353,7 +353,7 @@
             let patience = ended.deadline.saturating_duration_since(ended.started_at);
             self.limit.record_answer(finish.elapsed, patience);
         }
-        if let Some(load) = finish.told {
+        if let Some(load) = finish.reported_load {
             self.slots.record_load(now, ended.upstream, load);
         }
         if let Some(occupancy) = &mut self.occupancy {
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -17,7 +17,7 @@
 use crate::route::splitmix64;
 use crate::work::Ending;
 use crate::work::Finish;
-use crate::work::ToldLoad;
+use crate::work::ReportedLoad;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
 
@@ -62,7 +62,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Report {
-    load: ToldLoad,
+    load: ReportedLoad,
     at: Instant,
 }
 
@@ -153,7 +153,7 @@
             return;
         };
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
-        upstream.record_report(now, finish.told);
+        upstream.record_report(now, finish.reported_load);
         match finish.ending {
             Ending::Refused => upstream.refused(now, factor),
             Ending::Answered => upstream.answered(now, finish),
@@ -315,7 +315,7 @@
         Some(reported.at + drained.min(REPORT_VALID_FOR))
     }
 
-    fn record_report(&mut self, now: Instant, reported: Option<ToldLoad>) {
+    fn record_report(&mut self, now: Instant, reported: Option<ReportedLoad>) {
         if let Some(load) = reported {
             self.reported = Some(Report { load, at: now });
             self.started_since_report = 0;
@@ -328,7 +328,7 @@
     }
 
     fn answered(&mut self, now: Instant, finish: &Finish) {
-        let per_slot = finish.told.map_or(0.0, waiting_per_slot);
+        let per_slot = finish.reported_load.map_or(0.0, waiting_per_slot);
         let service_time = finish.elapsed.div_f64(1.0 + per_slot);
         self.service_time = moving_mean(self.service_time, service_time);
         self.call_time = moving_mean(self.call_time, finish.elapsed);
@@ -336,7 +336,7 @@
             self.cut(now, LONG_QUEUE_FACTOR);
         } else {
             let has_free = finish
-                .told
+                .reported_load
                 .is_some_and(|reported| reported.total() < reported.slots);
             let raise = if has_free {
                 RAISE_WITH_FREE_SLOTS
@@ -371,7 +371,7 @@
     }
 }
 
-fn waiting_per_slot(load: ToldLoad) -> f64 {
+fn waiting_per_slot(load: ReportedLoad) -> f64 {
     f64::from(load.waiting) / f64::from(load.slots.max(1))
 }
 
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -19,7 +19,7 @@
 use crate::speed::EventHistogram;
 use crate::speed::RemainingTime;
 use crate::speed::Speed;
-use crate::work::ToldLoad;
+use crate::work::ReportedLoad;
 use crate::work::UpstreamKey;
 
 /// Identifies a sample within this process; ascends in order of creation.
@@ -186,7 +186,7 @@
     /// Mean time per event; `None` until two events of a sample have arrived from it.
     mean_event_s: Option<f64>,
     /// Last reported load, with the time of the report.
-    reported: Option<(ToldLoad, Instant)>,
+    reported: Option<(ReportedLoad, Instant)>,
     /// `None` until it has reported how long work takes on its VM.
     speed: Option<Speed>,
     /// Expected delay of a sample that starts now, caused by the disturbance of its VM (see
@@ -371,7 +371,7 @@
     }
 
     /// Records the load that an engine reports.
-    pub fn record_load(&mut self, now: Instant, engine: UpstreamKey, reported: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, engine: UpstreamKey, reported: ReportedLoad) {
         let Some(at) = self.engine_index(engine) else {
             return;
         };
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -17,7 +17,7 @@
 use crate::speed::PeerStats;
 use crate::work::Ending;
 use crate::work::EntryDemands;
-use crate::work::ToldLoad;
+use crate::work::ReportedLoad;
 use crate::work::UpstreamKey;
 use crate::work::UpstreamState;
 
@@ -326,7 +326,7 @@
     }
 
     /// Records the load that an upstream reported with an answer.
-    pub fn record_load(&mut self, now: Instant, key: UpstreamKey, load: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, key: UpstreamKey, load: ReportedLoad) {
         let Some(index) = self.index_of(key) else {
             return;
         };
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::work::ToldLoad;
+use crate::work::ReportedLoad;
 
 /// Age from which a report is ignored. Its weight decreases linearly until then, since
 /// disturbances last less than a second.
@@ -331,7 +331,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CallSpeed {
     speed: Speed,
-    load: ToldLoad,
+    load: ReportedLoad,
     load_at: Instant,
     /// Calls that this node has sent since the last report.
     sent_since_report: u32,
@@ -340,7 +340,7 @@
 impl CallSpeed {
     /// Starts from the first report of the upstream's speed.
     #[must_use]
-    pub fn new(now: Instant, load: ToldLoad) -> Self {
+    pub fn new(now: Instant, load: ReportedLoad) -> Self {
         let mut first = Self {
             speed: Speed::default(),
             load,
@@ -353,7 +353,7 @@
 
     /// Records a report. If its `time_percent` is `None`, the earlier figure is used until it
     /// expires.
-    pub fn record_load(&mut self, now: Instant, load: ToldLoad) {
+    pub fn record_load(&mut self, now: Instant, load: ReportedLoad) {
         self.load = load;
         self.load_at = now;
         self.sent_since_report = 0;
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -122,7 +122,7 @@
 
 /// Load of an upstream by all its callers, as reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Number of running requests.
     pub running: u32,
     /// Number of waiting requests.
@@ -134,7 +134,7 @@
     pub time_percent: Option<u32>,
 }
 
-impl ToldLoad {
+impl ReportedLoad {
     /// Number of running and waiting requests. Saturates, since an upstream may report any
     /// number.
     #[must_use]
@@ -153,5 +153,5 @@
     /// Number of tokens of the answer; 0 if the answer does not give it.
     pub tokens: u32,
     /// Load of the upstream, if reported with the answer.
-    pub told: Option<ToldLoad>,
+    pub reported_load: Option<ReportedLoad>,
 }
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -13,7 +13,7 @@
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -200,7 +200,7 @@
         }
         for upstream in &mut upstreams {
             for ended in upstream.step(now_ms, load.slots) {
-                let told = ToldLoad {
+                let told = ReportedLoad {
                     running: upstream.running.len() as u32 + 1,
                     waiting: upstream.waiting.len() as u32,
                     slots: load.slots as u32,
@@ -223,7 +223,7 @@
                             ending: Ending::Answered,
                             elapsed: Duration::from_millis(now_ms - sent_ms),
                             tokens: 0,
-                            told: Some(told),
+                            reported_load: Some(told),
                         };
                         if let Some(sender) = senders.get_mut(sender) {
                             sender.finish(at(now_ms), work, &finish);
@@ -353,7 +353,7 @@
             },
             elapsed: Duration::from_millis(200),
             tokens: 0,
-            told: None,
+            reported_load: None,
         };
         sender.finish(now, work, &finish);
     }
@@ -389,7 +389,7 @@
         ending: Ending::Answered,
         elapsed: Duration::from_millis(200),
         tokens: 0,
-        told: None,
+        reported_load: None,
     };
     sender.finish(now, WorkKey(1), &finish);
     assert_eq!(started(&mut sender), Some(WorkKey(3)));
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -217,7 +217,7 @@
                     Ending::Abandoned
                 },
                 elapsed: now.duration_since(running_work.started),
-                told: None,
+                reported_load: None,
                 tokens: 0,
             };
             self.dispatcher.finish(now, running_work.work, &finish);
@@ -423,7 +423,7 @@
                 ending: Ending::Failed,
                 elapsed: STEP,
                 tokens: 0,
-                told: None,
+                reported_load: None,
             };
             simulation
                 .dispatcher
@@ -456,7 +456,7 @@
                         ending: Ending::Unreachable,
                         elapsed: STEP,
                         tokens: 0,
-                        told: None,
+                        reported_load: None,
                     };
                     simulation
                         .dispatcher
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -12,7 +12,7 @@
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
 use firweir_policy::work::Refusal;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -38,7 +38,7 @@
         ending,
         elapsed: CALL_TIME,
         tokens: 0,
-        told: waiting.map(|waiting| ToldLoad {
+        reported_load: waiting.map(|waiting| ReportedLoad {
             running: SLOTS,
             waiting,
             slots: SLOTS,
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -17,7 +17,7 @@
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -69,7 +69,7 @@
     work: WorkKey,
     upstream: usize,
     /// `None` if the message is on its way to the upstream.
-    answer: Option<(Ending, ToldLoad)>,
+    answer: Option<(Ending, ReportedLoad)>,
 }
 
 pub struct Simulation {
@@ -243,13 +243,13 @@
             ending: Ending::Abandoned,
             elapsed: Duration::ZERO,
             tokens: 0,
-            told: None,
+            reported_load: None,
         };
         self.nodes[node].finish(self.now, work, &finish);
         self.refuse(work, RETRY_DELAY);
     }
 
-    fn send(&mut self, work: WorkKey, upstream: usize, answer: Option<(Ending, ToldLoad)>) {
+    fn send(&mut self, work: WorkKey, upstream: usize, answer: Option<(Ending, ReportedLoad)>) {
         self.messages.push_back(Message {
             at: self.now + ONE_WAY,
             work,
@@ -303,8 +303,8 @@
     fn run_upstreams(&mut self) {
         for at in 0..self.upstreams.len() {
             while let Some(work) = self.upstreams[at].end_due(self.now) {
-                let told = self.upstreams[at].told();
-                self.send(work, at, Some((Ending::Answered, told)));
+                let reported_load = self.upstreams[at].reported_load();
+                self.send(work, at, Some((Ending::Answered, reported_load)));
             }
             self.upstreams[at].start_waiting(self.now);
         }
@@ -316,7 +316,7 @@
         let due: Vec<Message> = self.messages.drain(..due).collect();
         for message in due {
             match message.answer {
-                Some((ending, told)) => self.answered(&message, ending, told),
+                Some((ending, reported_load)) => self.answered(&message, ending, reported_load),
                 None => self.arrive(message.work, message.upstream),
             }
         }
@@ -326,12 +326,12 @@
         self.arrivals += 1;
         if !self.upstreams[at].arrive(self.now, work) {
             self.refused_arrivals += 1;
-            let told = self.upstreams[at].told();
-            self.send(work, at, Some((Ending::Refused, told)));
+            let reported_load = self.upstreams[at].reported_load();
+            self.send(work, at, Some((Ending::Refused, reported_load)));
         }
     }
 
-    fn answered(&mut self, message: &Message, ending: Ending, told: ToldLoad) {
+    fn answered(&mut self, message: &Message, ending: Ending, reported_load: ReportedLoad) {
         let work = message.work;
         let call = self.calls[work.0 as usize];
         let elapsed = self.now.duration_since(self.sent_at[work.0 as usize]);
@@ -339,7 +339,7 @@
             ending,
             elapsed,
             tokens: 0,
-            told: Some(told),
+            reported_load: Some(reported_load),
         };
         self.nodes[call.node].finish(self.now, work, &finish);
         self.carry_out(call.node);
--- a/crates/policy/tests/shared_support/upstream.rs
+++ b/crates/policy/tests/shared_support/upstream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::WorkKey;
 
 pub const SLOTS: usize = 6;
@@ -44,8 +44,8 @@
         true
     }
 
-    pub fn told(&self) -> ToldLoad {
-        ToldLoad {
+    pub fn reported_load(&self) -> ReportedLoad {
+        ReportedLoad {
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
             slots: SLOTS as u32,
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -17,7 +17,7 @@
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 use firweir_policy::work::UpstreamState;
 use firweir_policy::work::Work;
@@ -189,7 +189,7 @@
         } else {
             100
         };
-        let load = ToldLoad {
+        let load = ReportedLoad {
             running: calls.min(SLOTS) as u32,
             waiting: calls.saturating_sub(SLOTS) as u32,
             slots: SLOTS as u32,
@@ -203,7 +203,7 @@
             ending,
             elapsed: Duration::from_millis(ms),
             tokens: 0,
-            told: Some(load),
+            reported_load: Some(load),
         };
         self.nodes[node].finish(now, work, &finish);
         self.execute_decisions(node);
@@ -283,7 +283,7 @@
         let at = now + Duration::from_millis(answer * 40);
         let key = UpstreamKey(answer as u32 % 3);
         let is_slow = key.0 == 0;
-        let load = ToldLoad {
+        let load = ReportedLoad {
             running: 1,
             waiting: 0,
             slots: SLOTS as u32,
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -6,7 +6,7 @@
 use firweir_policy::speed::CallSpeed;
 use firweir_policy::speed::PeerStats;
 use firweir_policy::speed::Speed;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 
 /// Guards against ignoring a second disturbance as a figure that never changes, because it has the
 /// same value as an earlier one.
@@ -65,7 +65,7 @@
 #[test]
 fn own_calls_count_after_a_report_has_expired() {
     let start = Instant::now();
-    let idle = ToldLoad {
+    let idle = ReportedLoad {
         running: 0,
         waiting: 0,
         slots: 6,
@@ -82,7 +82,7 @@
 fn an_old_high_load_is_not_in_the_mean() {
     let start = Instant::now();
     let later = start + Duration::from_secs(10);
-    let load = |running| ToldLoad {
+    let load = |running| ReportedLoad {
         running,
         waiting: 0,
         slots: 6,
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -9,7 +9,7 @@
 use firweir_policy::placement::RunOutcome;
 use firweir_policy::placement::SampleKey;
 use firweir_policy::placement::SampleRequest;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 
 const MODEL: ModelKey = ModelKey(0);
@@ -68,7 +68,7 @@
     }
 
     fn report(&mut self, engine: u32, percent: u32) {
-        let load = ToldLoad {
+        let load = ReportedLoad {
             running: 1,
             waiting: 0,
             slots: 8,
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -11,7 +11,7 @@
 use firweir_policy::placement::SampleKey;
 use firweir_policy::placement::SampleRequest;
 use firweir_policy::route::splitmix64;
-use firweir_policy::work::ToldLoad;
+use firweir_policy::work::ReportedLoad;
 use firweir_policy::work::UpstreamKey;
 
 const MODEL: ModelKey = ModelKey(0);
@@ -196,7 +196,7 @@
             Reports::Truth => Some(100),
             Reports::Fixed(percent) => Some(percent),
         };
-        let load = ToldLoad {
+        let load = ReportedLoad {
             running: 1,
             waiting: 0,
             slots: 8,
@@ -349,7 +349,7 @@
             for sample in 0..2 {
                 let is_slow = is_disturbance && sample == 0;
                 if at_ms == 0 || (is_reported && at_ms % 100 == 0) {
-                    let load = ToldLoad {
+                    let load = ReportedLoad {
                         running: 1,
                         waiting: 0,
                         slots: 8,
