--- a/crates/node/src/duty.rs
+++ b/crates/node/src/duty.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Orders are given within this time of sending the read that showed the duty: long
 /// enough for a slow answer of the store, short beside the engines' lease.
@@ -40,7 +40,7 @@
     /// Names the write that made this value.
     pub(crate) write: String,
     /// Who gives orders.
-    pub(crate) holder: Runner,
+    pub(crate) holder: NodeRef,
     /// Grows with each change of the holder.
     pub(crate) epoch: u64,
 }
@@ -55,7 +55,7 @@
 }
 
 impl Found {
-    pub(crate) fn holder(&self) -> Option<&Runner> {
+    pub(crate) fn holder(&self) -> Option<&NodeRef> {
         self.duty.as_ref().map(|duty| &duty.holder)
     }
 
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -46,7 +46,7 @@
 use crate::reload::InForce;
 use crate::store::Created;
 use crate::store::Store;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Name of the duty's object.
 const DUTY: &str = "weights";
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone)]
 pub struct HolderParts {
     /// This node.
-    pub me: Runner,
+    pub me: NodeRef,
     /// Settings, with the lease of whoever is ordered.
     pub settings: InForce,
     /// The platform's store.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -63,7 +63,7 @@
 use crate::submission::homes::Homes;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::manager::SubmissionManagerParts;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 use crate::usage::counting::Counting;
 use crate::usage::counting::CountingParts;
 use crate::usage::report::Reporter;
@@ -235,7 +235,7 @@
 
 /// What this node tells seeds of itself.
 fn standing_of(settings: &NodeSettings) -> Standing {
-    let runner = settings.peer_listen.map(|address| Runner {
+    let runner = settings.peer_listen.map(|address| NodeRef {
         node: settings.node.clone(),
         address,
     });
@@ -333,7 +333,7 @@
 }
 
 fn build(base: &Base, peer_listen: SocketAddr) -> Arc<Door> {
-    let me = Runner {
+    let me = NodeRef {
         node: base.settings.node.clone(),
         address: peer_listen,
     };
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -25,7 +25,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::relay::POLL_TIMEOUT;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Path at which a seed names a home.
 pub const HOME_PATH: &str = "/peer/home";
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
-    pub runner: Runner,
+    pub runner: NodeRef,
     /// What its VM can bear: parts of [`crate::settings::REFERENCE_VM`].
     pub capacity: f64,
     /// It knows its configuration and does not drain.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HomeOffer {
     /// The node.
-    pub home: Runner,
+    pub home: NodeRef,
     /// Part of its VM that the model would get.
     pub share: f64,
     /// Tells equal offers apart.
@@ -93,7 +93,7 @@
 /// What this node tells of itself; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Standing {
-    runner: Option<Runner>,
+    runner: Option<NodeRef>,
     capacity: f64,
     takes_steps: Arc<AtomicBool>,
 }
@@ -101,7 +101,7 @@
 impl Standing {
     /// A node that takes no steps yet, or never if it takes no other nodes.
     #[must_use]
-    pub fn new(runner: Option<Runner>, capacity: f64) -> Self {
+    pub fn new(runner: Option<NodeRef>, capacity: f64) -> Self {
         Self {
             runner,
             capacity,
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -25,8 +25,8 @@
 use crate::submission::manager::AcceptanceEntry;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::records::Head;
+use crate::submission::records::NodeRef;
 use crate::submission::records::Part;
-use crate::submission::records::Runner;
 use crate::submission::records::cut;
 use crate::submission::records::item_bytes;
 use crate::submission::records::numbered;
@@ -124,7 +124,7 @@
     }
 
     /// Makes a node the home of a model, in a task of its own to not delay the answer.
-    fn assign_home(&self, model: &str, home: Runner, samples: u32) {
+    fn assign_home(&self, model: &str, home: NodeRef, samples: u32) {
         let (homes, model) = (self.shared.homes.clone(), model.to_owned());
         drop(tokio::spawn(async move {
             homes.settle(&model, home, samples).await;
@@ -132,7 +132,7 @@
     }
 
     /// Forwards a submission to the home of its model; returns whether that has accepted it.
-    async fn forward_to_home(&self, home: &Runner, posted: &SubmissionRequest<'_>) -> bool {
+    async fn forward_to_home(&self, home: &NodeRef, posted: &SubmissionRequest<'_>) -> bool {
         let mut request = Request::new(Full::new(posted.body.clone()));
         *request.method_mut() = posted.head.method.clone();
         *request.uri_mut() = posted.head.uri.clone();
--- a/crates/node/src/submission/heads.rs
+++ b/crates/node/src/submission/heads.rs
@@ -13,7 +13,7 @@
 use crate::dialect::StoreError;
 use crate::store::Store;
 use crate::submission::records::Head;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// The head of a submission at a revision of the store.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
 /// The newest head that this node has seen of each submission; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Heads {
-    this_node: Runner,
+    this_node: NodeRef,
     store: Store,
     journal: Journal,
     /// Sorted by id.
@@ -39,7 +39,7 @@
 impl Heads {
     /// Creates an empty cache.
     #[must_use]
-    pub fn new(this_node: Runner, store: Store, journal: Journal) -> Self {
+    pub fn new(this_node: NodeRef, store: Store, journal: Journal) -> Self {
         Self {
             this_node,
             store,
@@ -124,7 +124,7 @@
     pub async fn take_over(
         &self,
         known: &Known,
-        successor: Runner,
+        successor: NodeRef,
     ) -> Result<Option<Known>, StoreError> {
         let Some(newest) = self.reread(&known.id).await? else {
             return Ok(None);
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -21,7 +21,7 @@
 use crate::roster::HomeQuestion;
 use crate::roster::Roster;
 use crate::submission::homes::Homes;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Timeout of a question to a seed node, which answers from memory.
 const SEED_TIMEOUT: Duration = Duration::from_millis(250);
@@ -46,7 +46,7 @@
 impl HomeFinder {
     /// Returns the best home that a seed node offers for a model, other than `but`; `None` if
     /// there is no offer, and the caller should be the home.
-    pub async fn find(&self, model: &str, but: Option<SocketAddr>) -> Option<Runner> {
+    pub async fn find(&self, model: &str, but: Option<SocketAddr>) -> Option<NodeRef> {
         let question = HomeQuestion {
             model: model.to_owned(),
             but,
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -20,7 +20,7 @@
 use crate::dialect::Object;
 use crate::roster::Settled;
 use crate::store::Store;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Prefix of the names of homes among the duties in the store.
 const PREFIX: &str = "home-";
@@ -31,7 +31,7 @@
     /// Id of the write that created this value.
     write: String,
     /// The home node.
-    runner: Runner,
+    runner: NodeRef,
     /// Number of samples in a step of the model; missing in records of earlier releases.
     #[serde(default)]
     samples: Option<u32>,
@@ -41,7 +41,7 @@
 struct Home {
     model: String,
     revision: u64,
-    runner: Runner,
+    runner: NodeRef,
 }
 
 /// Home nodes of all models; cheap to clone.
@@ -68,7 +68,7 @@
 
     /// Returns the home of a model, if one is known.
     #[must_use]
-    pub fn of(&self, model: &str) -> Option<Runner> {
+    pub fn of(&self, model: &str) -> Option<NodeRef> {
         let homes = self.by_model.load();
         let at = homes.binary_search_by(|home| home.model.as_str().cmp(model));
         at.ok().map(|at| homes[at].runner.clone())
@@ -76,9 +76,9 @@
 
     /// Returns all home nodes, each once.
     #[must_use]
-    pub fn all(&self) -> Vec<Runner> {
+    pub fn all(&self) -> Vec<NodeRef> {
         let homes = self.by_model.load();
-        let mut nodes: Vec<Runner> = homes.iter().map(|home| home.runner.clone()).collect();
+        let mut nodes: Vec<NodeRef> = homes.iter().map(|home| home.runner.clone()).collect();
         nodes.sort_by_key(|runner| runner.address);
         nodes.dedup();
         nodes
@@ -112,7 +112,7 @@
 
     /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
     /// changed since it was read.
-    pub async fn settle(&self, model: &str, runner: Runner, samples: u32) {
+    pub async fn settle(&self, model: &str, runner: NodeRef, samples: u32) {
         let name = format!("{PREFIX}{model}");
         let record = HomeRecord {
             write: self.store.write_id(),
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -50,7 +50,7 @@
 use crate::submission::homes::Homes;
 use crate::submission::local::LocalSubmission;
 use crate::submission::records::Head;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 use crate::submission::runners::Runners;
 use crate::submission::text_saver::TextSaver;
 
@@ -121,7 +121,7 @@
 
 #[derive(Debug)]
 pub(in crate::submission) struct Shared {
-    pub(in crate::submission) this_node: Runner,
+    pub(in crate::submission) this_node: NodeRef,
     pub(in crate::submission) store: Store,
     pub(in crate::submission) links: Links,
     pub(in crate::submission) homes: Homes,
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 pub struct SubmissionManagerParts {
     /// This node.
-    pub this_node: Runner,
+    pub this_node: NodeRef,
     /// The platform store.
     pub store: Store,
     /// Connections to other nodes.
--- a/crates/node/src/submission/records.rs
+++ b/crates/node/src/submission/records.rs
@@ -14,7 +14,7 @@
 
 /// Name and address of a node, such as the runner of a submission or the home of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Runner {
+pub struct NodeRef {
     /// Its name.
     pub node: String,
     /// Address at which it accepts calls of other nodes.
@@ -43,7 +43,7 @@
     /// When it was accepted, in milliseconds since the Unix epoch by the accepting node's clock.
     pub accepted_ms: u64,
     /// The node that runs it.
-    pub runner: Runner,
+    pub runner: NodeRef,
     /// Whether it has ended: no more results are wanted.
     pub ended: bool,
     /// Account that submitted it, if calls need a key.
--- a/crates/node/src/vitals.rs
+++ b/crates/node/src/vitals.rs
@@ -10,7 +10,7 @@
 use crate::follow::Seeds;
 use crate::holder::Holder;
 use crate::submission::homes::Homes;
-use crate::submission::records::Runner;
+use crate::submission::records::NodeRef;
 
 /// Time between two lines.
 const EVERY: Duration = Duration::from_secs(10);
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct Vitals {
     /// This node.
-    pub me: Runner,
+    pub me: NodeRef,
     /// Whether it is a seed.
     pub seeds: Seeds,
     /// Whose home it is.
--- a/crates/node/tests/roster.rs
+++ b/crates/node/tests/roster.rs
@@ -9,7 +9,7 @@
 use firweir_node::roster::Roster;
 use firweir_node::roster::Settled;
 use firweir_node::roster::Standing;
-use firweir_node::submission::records::Runner;
+use firweir_node::submission::records::NodeRef;
 
 fn address(node: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], node))
@@ -17,7 +17,7 @@
 
 fn member(node: u16, capacity: f64) -> Member {
     Member {
-        runner: Runner {
+        runner: NodeRef {
             node: format!("vm-{node}"),
             address: address(node),
         },
