--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -26,10 +26,10 @@
 use crate::submission::manager::SubmissionManager;
 use crate::submission::records::Head;
 use crate::submission::records::NodeRef;
-use crate::submission::records::Part;
-use crate::submission::records::cut;
-use crate::submission::records::item_bytes;
-use crate::submission::records::numbered;
+use crate::submission::records::SubmissionPart;
+use crate::submission::records::estimated_item_bytes;
+use crate::submission::records::record_name;
+use crate::submission::records::split_into_records;
 use crate::submission::runners::strip_framing;
 
 /// How long the writes of a submission are retried. Clients wait for seconds, and a submission
@@ -296,12 +296,12 @@
     ) -> Result<Option<(Head, Duration)>, StoreError> {
         let until = self.shared.clock.now() + ACCEPT_TIMEOUT;
         let store = &self.shared.store;
-        let parts = cut(submission.items.clone(), item_bytes);
+        let parts = split_into_records(submission.items.clone(), estimated_item_bytes);
         let count = parts.len() as u32;
         for (number, items) in parts.into_iter().enumerate() {
             let write = store.write_id();
-            let name = numbered(&submission.id, number);
-            let part = Part { write, items };
+            let name = record_name(&submission.id, number);
+            let part = SubmissionPart { write, items };
             // An existing part is from an earlier attempt of the same submission, whose items
             // are the same in every attempt.
             store
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -42,7 +42,7 @@
         let (id, question) = (call.submission.as_str(), &call.question);
         // The heads of own submissions are read periodically, so this needs no read.
         if let Some(submission) = self.find_local(id) {
-            if !submission.head.is_for(account) {
+            if !submission.head.is_visible_to(account) {
                 return no_such_submission();
             }
             let answer = self.answer(&submission, question).await;
@@ -71,7 +71,7 @@
                 return answer.unwrap_or_else(refused);
             }
         };
-        if !known.head.is_for(account) {
+        if !known.head.is_visible_to(account) {
             return no_such_submission();
         }
         for _ in 0..MAX_HEAD_ATTEMPTS {
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -34,13 +34,13 @@
 use crate::store::Created;
 use crate::store::Store;
 use crate::submission::head_view::HeadView;
-use crate::submission::records::Chunk;
 use crate::submission::records::Head;
-use crate::submission::records::Part;
+use crate::submission::records::ResultChunk;
+use crate::submission::records::SubmissionPart;
 use crate::submission::records::UnfinishedTexts;
-use crate::submission::records::cut;
-use crate::submission::records::numbered;
-use crate::submission::records::result_bytes;
+use crate::submission::records::estimated_result_bytes;
+use crate::submission::records::record_name;
+use crate::submission::records::split_into_records;
 use crate::submission::texts::Progress;
 use crate::submission::texts::SavedText;
 use crate::submission::texts::put_together;
@@ -167,10 +167,10 @@
         let mut items = Vec::new();
         for number in 0..head.parts as usize {
             let object = store
-                .read(Kind::SubmissionParts, &numbered(id, number))
+                .read(Kind::SubmissionParts, &record_name(id, number))
                 .await?
                 .ok_or(StoreError::Missing)?;
-            let part: Part = serde_json::from_str(object.value.get())
+            let part: SubmissionPart = serde_json::from_str(object.value.get())
                 .map_err(|error| StoreError::Malformed(error.into()))?;
             items.extend(part.items);
         }
@@ -196,7 +196,8 @@
     /// The store did not answer.
     pub async fn catch_up(&self, store: &Store) -> Result<(), StoreError> {
         let known = self.lock().chunks;
-        let chunks: Vec<Chunk> = read_records(store, Kind::ResultChunks, &self.id, known).await?;
+        let chunks: Vec<ResultChunk> =
+            read_records(store, Kind::ResultChunks, &self.id, known).await?;
         for (offset, chunk) in chunks.into_iter().enumerate() {
             self.append(known + offset, chunk.results);
         }
@@ -476,12 +477,12 @@
         journal: &Journal,
         results: Vec<ItemResult>,
     ) {
-        let chunk = Chunk {
+        let chunk = ResultChunk {
             write: store.write_id(),
             results,
         };
         let number = self.lock().chunks;
-        let name = numbered(&self.id, number);
+        let name = record_name(&self.id, number);
         let started = clock.now();
         while !self.is_released() {
             let until = clock.now() + WRITE_TIMEOUT;
@@ -577,7 +578,7 @@
         let mut size = 0;
         let mut page = Vec::new();
         for result in state.listed.iter().skip(after) {
-            size += result_bytes(result);
+            size += estimated_result_bytes(result);
             if !page.is_empty() && size > limit_bytes {
                 break;
             }
@@ -645,7 +646,8 @@
 
     /// Takes the oldest pending results, as many as fit one chunk.
     fn take_batch(&mut self) -> Vec<ItemResult> {
-        let mut batches = cut(std::mem::take(&mut self.pending), result_bytes);
+        let mut batches =
+            split_into_records(std::mem::take(&mut self.pending), estimated_result_bytes);
         if batches.is_empty() {
             self.pending_since = None;
             return Vec::new();
@@ -676,7 +678,7 @@
         // first after the last known name.
         let after = number.checked_sub(1).map_or_else(
             || format!("{submission}-"),
-            |last| numbered(submission, last),
+            |last| record_name(submission, last),
         );
         let call = StoreCall::List {
             kind,
@@ -687,7 +689,7 @@
             return Err(StoreError::Unknown);
         };
         for object in objects {
-            if object.name != numbered(submission, from + records.len()) {
+            if object.name != record_name(submission, from + records.len()) {
                 return Ok(records);
             }
             let record = serde_json::from_str(object.value.get());
--- a/crates/node/src/submission/records.rs
+++ b/crates/node/src/submission/records.rs
@@ -55,14 +55,14 @@
     /// Whether a caller of this account may access the submission. One without an account is
     /// accessible to all.
     #[must_use]
-    pub fn is_for(&self, account: Option<&str>) -> bool {
+    pub fn is_visible_to(&self, account: Option<&str>) -> bool {
         self.account.is_none() || self.account.as_deref() == account
     }
 }
 
 /// Some items of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct SubmissionPart {
     /// Id of the write that created this value.
     pub write: String,
     /// The items, in the trainer's order.
@@ -71,7 +71,7 @@
 
 /// Some results of a submission, in the order of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct ResultChunk {
     /// Id of the write that created this value.
     pub write: String,
     /// The results.
@@ -104,22 +104,22 @@
 }
 
 /// Size limit of a record before JSON escaping; values in the store are limited to a megabyte.
-pub const RECORD_LIMIT_BYTES: usize = 600_000;
+pub const MAX_RECORD_BYTES: usize = 600_000;
 
 /// Name of a record, which sorts by its number.
 #[must_use]
-pub fn numbered(submission: &str, number: usize) -> String {
+pub fn record_name(submission: &str, number: usize) -> String {
     format!("{submission}-{number:05}")
 }
 
-/// Splits entries, in order, into records of at most [`RECORD_LIMIT_BYTES`]; a larger entry gets
+/// Splits entries, in order, into records of at most [`MAX_RECORD_BYTES`]; a larger entry gets
 /// a record of its own.
-pub fn cut<T>(entries: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+pub fn split_into_records<T>(entries: Vec<T>, size_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut records: Vec<Vec<T>> = Vec::new();
     let mut filled_bytes = usize::MAX;
     for entry in entries {
         let size = size_bytes(&entry);
-        if filled_bytes.saturating_add(size) > RECORD_LIMIT_BYTES {
+        if filled_bytes.saturating_add(size) > MAX_RECORD_BYTES {
             records.push(Vec::new());
             filled_bytes = 0;
         }
@@ -133,7 +133,7 @@
 
 /// Estimates the bytes that an item takes in a part.
 #[must_use]
-pub fn item_bytes(item: &Item) -> usize {
+pub fn estimated_item_bytes(item: &Item) -> usize {
     let headers: usize = item
         .headers
         .iter()
@@ -148,13 +148,13 @@
 
 /// Estimates the bytes that a piece of a text takes in a record.
 #[must_use]
-pub fn piece_bytes(piece: &TextPiece) -> usize {
+pub fn estimated_piece_bytes(piece: &TextPiece) -> usize {
     let text: usize = piece.events.iter().map(|event| event.len() + 4).sum();
     text + piece.item.len() + 100
 }
 
 /// Estimates the bytes that a result takes in a chunk.
 #[must_use]
-pub fn result_bytes(result: &ItemResult) -> usize {
+pub fn estimated_result_bytes(result: &ItemResult) -> usize {
     result.text.len() + result.item.len() + 100
 }
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -7,7 +7,7 @@
 use crate::dialect::StoreError;
 use crate::submission::local::LocalSubmission;
 use crate::submission::manager::SubmissionManager;
-use crate::submission::records::numbered;
+use crate::submission::records::record_name;
 
 /// Interval at which a submission is checked for removal, and a failed removal is retried.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(2);
@@ -58,7 +58,7 @@
         ];
         for (kind, count) in records {
             for number in 0..count {
-                let name = numbered(&submission.id, number);
+                let name = record_name(&submission.id, number);
                 store.remove(kind, &name).await?;
             }
         }
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -22,9 +22,9 @@
 use crate::store::Store;
 use crate::submission::local::LocalSubmission;
 use crate::submission::records::UnfinishedTexts;
-use crate::submission::records::cut;
-use crate::submission::records::numbered;
-use crate::submission::records::piece_bytes;
+use crate::submission::records::estimated_piece_bytes;
+use crate::submission::records::record_name;
+use crate::submission::records::split_into_records;
 use crate::submission::texts::SavedText;
 
 /// Interval between records: a sample loses a second of text with its runner on average, and a
@@ -83,7 +83,7 @@
     /// Returns a record of unsaved events, up to the size limit; `None` if there are none.
     fn next_record(&self, saved: &[SavedText]) -> Option<UnfinishedTexts> {
         let pieces = self.drafting.unsaved_texts(&self.submission.id, saved);
-        let mut records = cut(pieces, piece_bytes);
+        let mut records = split_into_records(pieces, estimated_piece_bytes);
         records.truncate(1);
         let pieces = records.pop()?;
         let write = self.store.write_id();
@@ -91,7 +91,7 @@
     }
 
     async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
-        let name = numbered(&self.submission.id, self.submission.saved_record_count());
+        let name = record_name(&self.submission.id, self.submission.saved_record_count());
         let until = self.clock.now() + WRITE_TIMEOUT;
         let kind = Kind::UnfinishedTexts;
         let creating = self.store.create(kind, &name, record, &record.write, until);
