--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -18,7 +18,7 @@
 use crate::respond::empty;
 use crate::respond::refusal;
 use crate::respond::with_json;
-use crate::submission::heads::Known;
+use crate::submission::heads::VersionedHead;
 use crate::submission::manager::RETRY_AFTER;
 use crate::submission::manager::RequestOrigin;
 use crate::submission::manager::SubmissionManager;
@@ -59,7 +59,7 @@
         {
             return answer;
         }
-        let mut known = match self.shared.heads.known(id).await {
+        let mut known = match self.shared.heads.lookup(id).await {
             Ok(Some(known)) => known,
             Ok(None) => return no_such_submission(),
             Err(_) => {
@@ -82,7 +82,7 @@
                 };
             }
             if origin == RequestOrigin::Peer {
-                match self.reread_for_peer(&known).await {
+                match self.read_for_peer(&known).await {
                     Some(newest) if newest.head.runner == self.shared.this_node => {
                         known = newest;
                         continue;
@@ -120,7 +120,7 @@
                     }
                 }
             }
-            match self.shared.heads.reread(id).await {
+            match self.shared.heads.read_newest(id).await {
                 Ok(Some(newest)) if newest.head.runner != known.head.runner => known = newest,
                 _ => break,
             }
@@ -138,8 +138,8 @@
     /// would wait for a runner that was replaced long ago until its client disconnects.
     ///
     /// Runs in a task of its own, like [`SubmissionManager::replace_runner`].
-    async fn find_current_head(self, known: Known) -> Known {
-        let read = self.shared.heads.reread(&known.id).await;
+    async fn find_current_head(self, known: VersionedHead) -> VersionedHead {
+        let read = self.shared.heads.read_newest(&known.id).await;
         if let Ok(Some(newest)) = read
             && newest.head.runner != known.head.runner
         {
@@ -155,7 +155,7 @@
     /// Runs in a task of its own: a client may disconnect before the runner is known to be down.
     /// If that cancelled the check, the client's next question would reach another node, which
     /// would start it again.
-    async fn replace_runner(self, known: Known, error: LinkError) -> Option<Known> {
+    async fn replace_runner(self, known: VersionedHead, error: LinkError) -> Option<VersionedHead> {
         let runner = known.head.runner.address;
         if !self.shared.runners.is_gone(runner, error).await {
             return None;
@@ -182,7 +182,7 @@
     /// old that the previous runner still runs it. The previous runner knows the later head.
     /// Without this read, the two would send every question to each other, and the submission
     /// could not be read. Nodes remember the runner that answered, so such questions are rare.
-    async fn reread_for_peer(&self, known: &Known) -> Option<Known> {
+    async fn read_for_peer(&self, known: &VersionedHead) -> Option<VersionedHead> {
         let now = self.shared.clock.now();
         {
             let mut state = self.lock();
@@ -193,7 +193,7 @@
             }
             reads.push((known.id.clone(), now));
         }
-        match self.shared.heads.reread(&known.id).await {
+        match self.shared.heads.read_newest(&known.id).await {
             Ok(newest) => newest,
             Err(error) => {
                 self.shared.journal.event(
@@ -243,13 +243,13 @@
     /// doesn't retry a refused end, and engines would go on generating samples of its step.
     pub(in crate::submission) async fn end_in_store(&self, id: &str) -> Response<Body> {
         for _ in 0..MAX_HEAD_ATTEMPTS {
-            let Ok(Some(known)) = self.shared.heads.reread(id).await else {
+            let Ok(Some(known)) = self.shared.heads.read_newest(id).await else {
                 break;
             };
             if known.head.ended {
                 return empty(StatusCode::OK);
             }
-            match self.shared.heads.end(&known).await {
+            match self.shared.heads.mark_ended(&known).await {
                 Ok(()) => {
                     self.shared
                         .journal
--- a/crates/node/src/submission/heads.rs
+++ b/crates/node/src/submission/heads.rs
@@ -17,7 +17,7 @@
 
 /// The head of a submission at a revision of the store.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct VersionedHead {
     /// Id of the submission.
     pub id: String,
     /// Revision of the head's object.
@@ -33,7 +33,7 @@
     store: Store,
     journal: Journal,
     /// Sorted by id.
-    newest: Arc<Mutex<Vec<Known>>>,
+    newest: Arc<Mutex<Vec<VersionedHead>>>,
 }
 
 impl Heads {
@@ -50,7 +50,7 @@
 
     /// Whether the head of a submission is cached.
     #[must_use]
-    pub fn has(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.find(id).is_some()
     }
 
@@ -61,9 +61,9 @@
 
     /// Decodes a head from an object of the store; an unreadable one is logged.
     #[must_use]
-    pub fn decode(&self, object: Object) -> Option<Known> {
+    pub fn decode(&self, object: Object) -> Option<VersionedHead> {
         match serde_json::from_str::<Head>(object.value.get()) {
-            Ok(head) => Some(Known {
+            Ok(head) => Some(VersionedHead {
                 id: object.name,
                 revision: object.revision,
                 head,
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// It is not cached and the store did not answer.
-    pub async fn known(&self, id: &str) -> Result<Option<Known>, StoreError> {
+    pub async fn lookup(&self, id: &str) -> Result<Option<VersionedHead>, StoreError> {
         let cached = self.find(id);
         if cached.is_some() {
             return Ok(cached);
@@ -95,10 +95,10 @@
             && let Some(known) = self.decode(object)
             && known.head.runner != self.this_node
         {
-            self.note(known.clone());
+            self.update(known.clone());
             return Ok(Some(known));
         }
-        self.reread(id).await
+        self.read_newest(id).await
     }
 
     /// Reads the newest head from the store.
@@ -106,11 +106,11 @@
     /// # Errors
     ///
     /// The store did not answer.
-    pub async fn reread(&self, id: &str) -> Result<Option<Known>, StoreError> {
+    pub async fn read_newest(&self, id: &str) -> Result<Option<VersionedHead>, StoreError> {
         let object = self.store.read(Kind::Submissions, id).await?;
         let known = object.and_then(|object| self.decode(object));
         if let Some(known) = &known {
-            self.note(known.clone());
+            self.update(known.clone());
         }
         Ok(known)
     }
@@ -123,10 +123,10 @@
     /// The store did not answer.
     pub async fn take_over(
         &self,
-        known: &Known,
+        known: &VersionedHead,
         successor: NodeRef,
-    ) -> Result<Option<Known>, StoreError> {
-        let Some(newest) = self.reread(&known.id).await? else {
+    ) -> Result<Option<VersionedHead>, StoreError> {
+        let Some(newest) = self.read_newest(&known.id).await? else {
             return Ok(None);
         };
         if newest.head.runner != known.head.runner {
@@ -149,7 +149,7 @@
                 );
                 Ok(Some(taken))
             }
-            Err(StoreError::Conflict) => self.reread(&known.id).await,
+            Err(StoreError::Conflict) => self.read_newest(&known.id).await,
             Err(error) => Err(error),
         }
     }
@@ -159,7 +159,7 @@
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if its head has changed, or the store did not answer.
-    pub async fn end(&self, known: &Known) -> Result<(), StoreError> {
+    pub async fn mark_ended(&self, known: &VersionedHead) -> Result<(), StoreError> {
         let head = Head {
             write: self.store.write_id(),
             ended: true,
@@ -169,7 +169,7 @@
     }
 
     /// Caches a head, unless a newer one is cached.
-    pub fn note(&self, known: Known) {
+    pub fn update(&self, known: VersionedHead) {
         let mut newest = self.lock();
         match newest.binary_search_by(|other| other.id.cmp(&known.id)) {
             Ok(at) if newest[at].revision < known.revision => newest[at] = known,
@@ -178,27 +178,31 @@
         }
     }
 
-    async fn replace(&self, known: &Known, head: Head) -> Result<Known, StoreError> {
+    async fn replace(
+        &self,
+        known: &VersionedHead,
+        head: Head,
+    ) -> Result<VersionedHead, StoreError> {
         let write = head.write.clone();
         let (kind, id, revision) = (Kind::Submissions, &known.id, known.revision);
         let replacing = self.store.replace(kind, id, revision, &head, &write);
         let object = replacing.await?;
-        let replaced = Known {
+        let replaced = VersionedHead {
             id: known.id.clone(),
             revision: object.revision,
             head,
         };
-        self.note(replaced.clone());
+        self.update(replaced.clone());
         Ok(replaced)
     }
 
-    fn find(&self, id: &str) -> Option<Known> {
+    fn find(&self, id: &str) -> Option<VersionedHead> {
         let newest = self.lock();
         let at = newest.binary_search_by(|other| other.id.as_str().cmp(id));
         at.ok().map(|at| newest[at].clone())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Known>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<VersionedHead>> {
         self.newest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -45,7 +45,7 @@
 use crate::respond::with_json;
 use crate::store::Store;
 use crate::submission::heads::Heads;
-use crate::submission::heads::Known;
+use crate::submission::heads::VersionedHead;
 use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::local::LocalSubmission;
@@ -220,7 +220,8 @@
         let heads = listed
             .into_iter()
             .filter_map(|object| self.shared.heads.decode(object));
-        let (ended, running): (Vec<Known>, Vec<Known>) = heads.partition(|known| known.head.ended);
+        let (ended, running): (Vec<VersionedHead>, Vec<VersionedHead>) =
+            heads.partition(|known| known.head.ended);
         // They are loaded one at a time; trainers still wait for those that have not ended.
         for known in running.into_iter().chain(ended) {
             self.apply_head(known);
@@ -228,8 +229,8 @@
     }
 
     /// Loads, stops or releases a submission as its head in the store requires.
-    fn apply_head(&self, known: Known) {
-        self.shared.heads.note(known.clone());
+    fn apply_head(&self, known: VersionedHead) {
+        self.shared.heads.update(known.clone());
         let is_runner = known.head.runner == self.shared.this_node;
         match self.find_local(&known.id) {
             Some(submission) if !is_runner => self.release(&submission),
@@ -265,7 +266,7 @@
     /// The store did not answer.
     async fn confirm_runner(&self, submission: &LocalSubmission) -> Result<bool, StoreError> {
         let sent = self.shared.boot_clock.since_boot();
-        let newest = self.shared.heads.reread(&submission.id).await;
+        let newest = self.shared.heads.read_newest(&submission.id).await;
         if newest.is_err() {
             submission.head_view.note_in_vain(sent);
         }
@@ -461,7 +462,7 @@
             LocalSubmission::load(&self.shared.store, id, head, &*self.shared.clock).await?;
         if submission.is_running() {
             let sent = self.shared.boot_clock.since_boot();
-            match self.shared.heads.reread(id).await? {
+            match self.shared.heads.read_newest(id).await? {
                 Some(known) if !known.head.ended => {
                     // If another node runs it, no sample starts here, and the next read of the
                     // head releases it.
@@ -537,7 +538,7 @@
     }
 
     pub(in crate::submission) fn is_known(&self, id: &str) -> bool {
-        self.shared.heads.has(id) || self.find_local(id).is_some()
+        self.shared.heads.contains(id) || self.find_local(id).is_some()
     }
 
     fn is_being_accepted(&self, id: &str) -> bool {
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -44,7 +44,7 @@
     /// Removes results and items, then the head. The head goes last, so that after a crash the
     /// restarted node finds what is left to remove.
     async fn remove(&self, submission: &LocalSubmission) -> Result<(), StoreError> {
-        let Some(known) = self.shared.heads.reread(&submission.id).await? else {
+        let Some(known) = self.shared.heads.read_newest(&submission.id).await? else {
             return Ok(());
         };
         if known.head.runner != self.shared.this_node {
