--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -558,7 +558,7 @@
     base.follow(Kind::Duties, how, move |news| {
         for change in news.changes {
             holder.take_change(&change);
-            homes.take(change);
+            homes.apply(change);
         }
     });
     let submissions = node.submissions.clone();
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -73,7 +73,7 @@
             return self.accept_here(posted, submission, draining, false).await;
         }
         let model = submission.model.clone();
-        let known = self.shared.homes.of(&model);
+        let known = self.shared.homes.get(&model);
         if known.as_ref() == Some(&self.shared.this_node) {
             return self.accept_here(posted, submission, draining, false).await;
         }
@@ -115,7 +115,7 @@
         let model = submission.model.clone();
         let samples = submission.items.len() as u32;
         let answer = self.accept(posted, submission).await;
-        let is_home = self.shared.homes.of(&model).as_ref() == Some(&self.shared.this_node);
+        let is_home = self.shared.homes.get(&model).as_ref() == Some(&self.shared.this_node);
         let has_homes = self.shared.off.leaves(Mechanism::Homes);
         if answer.status() == StatusCode::ACCEPTED && !is_home && has_homes {
             self.assign_home(&model, self.shared.this_node.clone(), samples);
@@ -127,7 +127,7 @@
     fn assign_home(&self, model: &str, home: NodeRef, samples: u32) {
         let (homes, model) = (self.shared.homes.clone(), model.to_owned());
         drop(tokio::spawn(async move {
-            homes.settle(&model, home, samples).await;
+            homes.assign(&model, home, samples).await;
         }));
     }
 
@@ -268,8 +268,8 @@
     fn update_home(&self, submission: &Submission) {
         let homes = &self.shared.homes;
         let (model, samples) = (&submission.model, submission.items.len() as u32);
-        let is_home = homes.of(model).as_ref() == Some(&self.shared.this_node);
-        if is_home && homes.has_grown(model, samples) {
+        let is_home = homes.get(model).as_ref() == Some(&self.shared.this_node);
+        if is_home && homes.exceeds_recorded_samples(model, samples) {
             self.assign_home(model, self.shared.this_node.clone(), samples);
         }
     }
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -216,7 +216,7 @@
         question: &Question,
         call: &request::Parts,
     ) -> Option<Response<Body>> {
-        let homes = self.shared.homes.all().into_iter();
+        let homes = self.shared.homes.nodes().into_iter();
         let others = homes.filter(|home| *home != self.shared.this_node);
         let mut asked: FuturesUnordered<_> = others
             .map(|home| self.shared.runners.pass_on(home.address, question, call))
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -44,12 +44,12 @@
 }
 
 impl HomeFinder {
-    /// Returns the best home that a seed node offers for a model, other than `but`; `None` if
+    /// Returns the best home that a seed node offers for a model, other than `excluded`; `None` if
     /// there is no offer, and the caller should be the home.
-    pub async fn find(&self, model: &str, but: Option<SocketAddr>) -> Option<NodeRef> {
+    pub async fn find(&self, model: &str, excluded: Option<SocketAddr>) -> Option<NodeRef> {
         let question = HomeQuestion {
             model: model.to_owned(),
-            but,
+            but: excluded,
         };
         let seeds = self.seeds.now();
         let own = seeds.is_seed.then(|| self.local_offer(&question)).flatten();
@@ -81,8 +81,8 @@
     #[must_use]
     pub fn local_offer(&self, question: &HomeQuestion) -> Option<HomeOffer> {
         let now = self.clock.now();
-        let settled = self.homes.settled();
-        let offer = self.roster.home_for(now, question, &settled)?;
+        let assignments = self.homes.assignments();
+        let offer = self.roster.home_for(now, question, &assignments)?;
         self.journal.event(
             "home_named",
             &[
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -68,7 +68,7 @@
 
     /// Returns the home of a model, if one is known.
     #[must_use]
-    pub fn of(&self, model: &str) -> Option<NodeRef> {
+    pub fn get(&self, model: &str) -> Option<NodeRef> {
         let homes = self.by_model.load();
         let at = homes.binary_search_by(|home| home.model.as_str().cmp(model));
         at.ok().map(|at| homes[at].runner.clone())
@@ -76,7 +76,7 @@
 
     /// Returns all home nodes, each once.
     #[must_use]
-    pub fn all(&self) -> Vec<NodeRef> {
+    pub fn nodes(&self) -> Vec<NodeRef> {
         let homes = self.by_model.load();
         let mut nodes: Vec<NodeRef> = homes.iter().map(|home| home.runner.clone()).collect();
         nodes.sort_by_key(|runner| runner.address);
@@ -86,7 +86,7 @@
 
     /// Returns the address of each model's home.
     #[must_use]
-    pub fn settled(&self) -> Vec<Settled> {
+    pub fn assignments(&self) -> Vec<Settled> {
         let homes = self.by_model.load();
         let assignments = homes.iter().map(|home| Settled {
             model: home.model.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// Applies a change of the duties in the store. Homes are never removed.
-    pub fn take(&self, change: Change) {
+    pub fn apply(&self, change: Change) {
         match change {
             Change::All(objects) => objects.iter().for_each(|object| self.put(object)),
             Change::Put(object) => self.put(&object),
@@ -106,13 +106,13 @@
 
     /// Whether a step with so many samples exceeds the number that is recorded for its model.
     #[must_use]
-    pub fn has_grown(&self, model: &str, samples: u32) -> bool {
+    pub fn exceeds_recorded_samples(&self, model: &str, samples: u32) -> bool {
         self.demands.has_grown(model, samples)
     }
 
     /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
     /// changed since it was read.
-    pub async fn settle(&self, model: &str, runner: NodeRef, samples: u32) {
+    pub async fn assign(&self, model: &str, runner: NodeRef, samples: u32) {
         let name = format!("{PREFIX}{model}");
         let record = HomeRecord {
             write: self.store.write_id(),
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -553,8 +553,9 @@
     /// Makes results pending again after another node created their chunk, except those that
     /// are listed.
     ///
-    /// A concurrent [`LocalSubmission::catch_up`] may have read the other node's chunk during the write.
-    /// Without the filter its items would be written again and be at two positions of the log.
+    /// A concurrent [`LocalSubmission::catch_up`] may have read the other node's chunk during the
+    /// write. Without the filter its items would be written again, and have two positions in the
+    /// log.
     fn requeue(&self, now: Instant, mut results: Vec<ItemResult>) {
         let mut state = self.lock();
         results.retain(|result| {
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -311,7 +311,8 @@
         }
     }
 
-    /// Like [`SubmissionManager::confirm_runner`], and reads what an earlier runner has listed since.
+    /// Like [`SubmissionManager::confirm_runner`], and reads what an earlier runner has listed
+    /// since.
     ///
     /// A runner that was paused continues until its next read of the head, and may list
     /// results after another node has read the log. Once the submission has ended, that node
--- a/crates/node/src/vitals.rs
+++ b/crates/node/src/vitals.rs
@@ -53,7 +53,7 @@
     }
 
     fn write(&self) {
-        let settled = self.homes.settled();
+        let settled = self.homes.assignments();
         let own = settled
             .iter()
             .filter(|held| held.address == self.me.address);
