--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -8,8 +8,8 @@
 use firweir_policy::pool::pool_slice;
 use firweir_policy::pool::rendezvous_hash;
 use firweir_policy::weight_loads::Division;
-use firweir_policy::weight_loads::Lag;
-use firweir_policy::weight_loads::Need;
+use firweir_policy::weight_loads::EngineNeed;
+use firweir_policy::weight_loads::VersionLag;
 use firweir_policy::weight_loads::assign;
 
 use crate::demand::Demands;
@@ -131,10 +131,10 @@
 }
 
 /// What the models need whose homes have told.
-fn needs_of(models: &[Model], slots: u32, demands: &Demands) -> Vec<Need> {
+fn needs_of(models: &[Model], slots: u32, demands: &Demands) -> Vec<EngineNeed> {
     let needs = models.iter().enumerate().filter_map(|(at, model)| {
         let samples = demands.of(&model.name)?;
-        Some(Need {
+        Some(EngineNeed {
             model: ModelKey(at as u32),
             engines: engines_needed(samples, slots),
         })
@@ -143,7 +143,7 @@
 }
 
 /// How far engines are behind the models in whose slices they are.
-fn lags(engines: &[Arc<Upstream>], models: &[Model]) -> Vec<Lag> {
+fn lags(engines: &[Arc<Upstream>], models: &[Model]) -> Vec<VersionLag> {
     let mut lags = Vec::new();
     for (at, engine) in engines.iter().enumerate() {
         let hash = hash_of_name(&engine.instance.id);
@@ -155,11 +155,11 @@
             let Some(version) = engine.version_of(&model.name) else {
                 continue;
             };
-            lags.push(Lag {
+            lags.push(VersionLag {
                 engine: at,
                 model: ModelKey(key as u32),
                 order,
-                behind: model.named.map_or(0, |named| named.saturating_sub(version)),
+                versions_behind: model.named.map_or(0, |named| named.saturating_sub(version)),
             });
         }
     }
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -26,7 +26,7 @@
 
 /// How many versions one engine is behind on one model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lag {
+pub struct VersionLag {
     /// Index of the engine.
     pub engine: usize,
     /// The model.
@@ -34,7 +34,7 @@
     /// Position of the engine in the model's order ([`crate::pool::rendezvous_hash`]).
     pub order: u64,
     /// Number of versions.
-    pub behind: u64,
+    pub versions_behind: u64,
 }
 
 /// Part of a model's equal share of the engines that gets each version, in quarters: these are all
@@ -50,7 +50,7 @@
 
 /// Number of engines that the steps of one model need concurrently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Need {
+pub struct EngineNeed {
     /// The model.
     pub model: ModelKey,
     /// Number of engines.
@@ -65,7 +65,7 @@
     /// Number of all models.
     pub models: usize,
     /// Sorted by model. A model that is missing gets its equal share.
-    pub needs: Vec<Need>,
+    pub needs: Vec<EngineNeed>,
 }
 
 impl Division {
@@ -98,12 +98,12 @@
 /// simpler, but each engine that joins or leaves would move all later ones to another model, and
 /// each such change is a load.
 #[must_use]
-pub fn assign(division: &Division, lags: &[Lag]) -> Vec<Vec<ModelKey>> {
+pub fn assign(division: &Division, lags: &[VersionLag]) -> Vec<Vec<ModelKey>> {
     let mut models: Vec<ModelKey> = lags.iter().map(|lag| lag.model).collect();
     models.sort_unstable();
     models.dedup();
     let mut pairs = lags.to_vec();
-    pairs.sort_by_key(|lag| (lag.behind > MAX_KEPT_LAG, lag.order, lag.engine));
+    pairs.sort_by_key(|lag| (lag.versions_behind > MAX_KEPT_LAG, lag.order, lag.engine));
     let mut assigned = vec![Vec::new(); division.engines];
     let engines_in_both_sets = |model| division.engines_in_both_sets(model);
     let primary_count = |model| division.equal_share().min(engines_in_both_sets(model));
@@ -119,7 +119,7 @@
 fn assign_up_to(
     assigned: &mut [Vec<ModelKey>],
     models: &[ModelKey],
-    pairs: &[Lag],
+    pairs: &[VersionLag],
     max_per_engine: usize,
     limit_of: impl Fn(ModelKey) -> usize,
 ) {
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -7,9 +7,9 @@
 use firweir_policy::placement::ModelKey;
 use firweir_policy::pool::rendezvous_hash;
 use firweir_policy::weight_loads::Division;
+use firweir_policy::weight_loads::EngineNeed;
 use firweir_policy::weight_loads::EngineWeights;
-use firweir_policy::weight_loads::Lag;
-use firweir_policy::weight_loads::Need;
+use firweir_policy::weight_loads::VersionLag;
 use firweir_policy::weight_loads::assign;
 use firweir_policy::weight_loads::loads_at_most;
 use firweir_policy::weight_loads::next_loads;
@@ -89,15 +89,15 @@
     }
 }
 
-fn lags(engines: &[usize], behind: impl Fn(usize, u32) -> u64) -> Vec<Lag> {
+fn lags(engines: &[usize], behind: impl Fn(usize, u32) -> u64) -> Vec<VersionLag> {
     let pairs = engines.iter().enumerate();
     pairs
         .flat_map(|(at, engine)| {
-            let lag = |model| Lag {
+            let lag = |model| VersionLag {
                 engine: at,
                 order: rendezvous_hash(*engine as u64, u64::from(model)),
                 model: ModelKey(model),
-                behind: behind(*engine, model),
+                versions_behind: behind(*engine, model),
             };
             [lag(0), lag(1), lag(2)]
         })
@@ -353,7 +353,7 @@
         },
     ];
     for case in cases {
-        let needs = (0..3).map(|model| Need {
+        let needs = (0..3).map(|model| EngineNeed {
             model: ModelKey(model),
             engines: case.needs[model as usize],
         });
