--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -7,10 +7,10 @@
 use firweir_policy::pool::engines_needed;
 use firweir_policy::pool::pool_slice;
 use firweir_policy::pool::rendezvous_hash;
-use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::EngineNeed;
+use firweir_policy::weight_loads::ModelShares;
 use firweir_policy::weight_loads::VersionLag;
-use firweir_policy::weight_loads::assign;
+use firweir_policy::weight_loads::assign_models;
 
 use crate::demand::Demands;
 use crate::fleet::Fleet;
@@ -34,7 +34,7 @@
     /// Sorted by instance, without those that leave.
     pub serving: Vec<Engine>,
     /// The division.
-    pub division: Division,
+    pub model_shares: ModelShares,
 }
 
 /// A model as far as it takes engines.
@@ -60,12 +60,12 @@
     for need in &needs {
         models[need.model.0 as usize].slice = pool_slice(total, need.engines);
     }
-    let division = Division {
+    let model_shares = ModelShares {
         engines: total,
         models: models.len(),
         needs,
     };
-    let assigned = assign(&division, &lags(&engines, &models));
+    let assigned = assign_models(&model_shares, &lags(&engines, &models));
     let name_of = |model: ModelKey| Arc::clone(&models[model.0 as usize].name);
     // Where all are looked at, those that no model takes have room for the samples of any.
     let all = models
@@ -81,7 +81,7 @@
     };
     Engines {
         serving: serving.map(with_models).collect(),
-        division,
+        model_shares,
     }
 }
 
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -270,7 +270,7 @@
         let named = fleet.named();
         let Engines {
             serving: engines,
-            division,
+            model_shares,
         } = rollout_engines(fleet);
         let mut weighed = Vec::new();
         let mut loads = Vec::new();
@@ -295,9 +295,9 @@
         }
         let routes = &fleet.config().routes;
         let keep_running = !routes.iter().any(|route| route.single_version);
-        let at_once = self.loads_at_once(division.engines);
+        let at_once = self.loads_at_once(model_shares.engines);
         let next = if self.shared.parts.off.leaves(Mechanism::TwoSets) {
-            next_loads(&weighed, at_once, &division)
+            next_loads(&weighed, at_once, &model_shares)
         } else {
             next_loads_of_all(&weighed, at_once)
         };
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -16,8 +16,8 @@
 use firweir_policy::placement::RunOutcome;
 use firweir_policy::placement::SampleKey;
 use firweir_policy::placement::SampleRequest;
-use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::EngineWeights;
+use firweir_policy::weight_loads::ModelShares;
 use firweir_policy::weight_loads::loads_at_most;
 use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
@@ -136,13 +136,13 @@
             })
             .collect();
         let at_once = loads_at_most(engines as usize).min(16);
-        let division = Division {
+        let model_shares = ModelShares {
             engines: engines as usize,
             models: 3,
             needs: Vec::new(),
         };
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
-            bencher.iter(|| black_box(next_loads(&weights, at_once, &division)));
+            bencher.iter(|| black_box(next_loads(&weights, at_once, &model_shares)));
         });
     }
     group.finish();
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -59,7 +59,7 @@
 
 /// Input to the assignment of models to engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Division {
+pub struct ModelShares {
     /// Number of all engines.
     pub engines: usize,
     /// Number of all models.
@@ -68,7 +68,7 @@
     pub needs: Vec<EngineNeed>,
 }
 
-impl Division {
+impl ModelShares {
     /// Equal share of the engines for each model.
     fn equal_share(&self) -> usize {
         self.engines.div_ceil(self.models.max(1))
@@ -98,15 +98,15 @@
 /// simpler, but each engine that joins or leaves would move all later ones to another model, and
 /// each such change is a load.
 #[must_use]
-pub fn assign(division: &Division, lags: &[VersionLag]) -> Vec<Vec<ModelKey>> {
+pub fn assign_models(model_shares: &ModelShares, lags: &[VersionLag]) -> Vec<Vec<ModelKey>> {
     let mut models: Vec<ModelKey> = lags.iter().map(|lag| lag.model).collect();
     models.sort_unstable();
     models.dedup();
     let mut pairs = lags.to_vec();
     pairs.sort_by_key(|lag| (lag.versions_behind > MAX_KEPT_LAG, lag.order, lag.engine));
-    let mut assigned = vec![Vec::new(); division.engines];
-    let engines_in_both_sets = |model| division.engines_in_both_sets(model);
-    let primary_count = |model| division.equal_share().min(engines_in_both_sets(model));
+    let mut assigned = vec![Vec::new(); model_shares.engines];
+    let engines_in_both_sets = |model| model_shares.engines_in_both_sets(model);
+    let primary_count = |model| model_shares.equal_share().min(engines_in_both_sets(model));
     assign_up_to(&mut assigned, &models, &pairs, 1, primary_count);
     if models.len() > 1 {
         assign_up_to(&mut assigned, &models, &pairs, SETS, engines_in_both_sets);
@@ -178,10 +178,10 @@
 pub fn next_loads(
     weights: &[EngineWeights],
     max_concurrent: usize,
-    division: &Division,
+    model_shares: &ModelShares,
 ) -> Vec<usize> {
     plan_loads(weights, max_concurrent, |model| {
-        division.engines_per_version(model)
+        model_shares.engines_per_version(model)
     })
 }
 
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -6,11 +6,11 @@
 use firweir_policy::longest_first::rank_by_length;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::pool::rendezvous_hash;
-use firweir_policy::weight_loads::Division;
 use firweir_policy::weight_loads::EngineNeed;
 use firweir_policy::weight_loads::EngineWeights;
+use firweir_policy::weight_loads::ModelShares;
 use firweir_policy::weight_loads::VersionLag;
-use firweir_policy::weight_loads::assign;
+use firweir_policy::weight_loads::assign_models;
 use firweir_policy::weight_loads::loads_at_most;
 use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
@@ -81,8 +81,8 @@
 }
 
 /// A division without known needs.
-const fn equal_shares(engines: usize, models: usize) -> Division {
-    Division {
+const fn equal_shares(engines: usize, models: usize) -> ModelShares {
+    ModelShares {
         engines,
         models,
         needs: Vec::new(),
@@ -107,7 +107,7 @@
 #[test]
 fn models_share_engines_evenly_and_keep_them() {
     let all: Vec<usize> = (0..12).collect();
-    let first = assign(&equal_shares(12, 3), &lags(&all, |_, _| 0));
+    let first = assign_models(&equal_shares(12, 3), &lags(&all, |_, _| 0));
     for model in 0..3 {
         let model = ModelKey(model);
         let own = first.iter().filter(|models| models[0] == model);
@@ -120,14 +120,14 @@
     let behind =
         |engine: usize, model: u32| u64::from(!first[engine].contains(&ModelKey(model))) * 3;
     assert_eq!(
-        assign(&equal_shares(12, 3), &lags(&all, behind)),
+        assign_models(&equal_shares(12, 3), &lags(&all, behind)),
         first,
         "no model moves"
     );
     // One of the sets is two versions behind until it has loaded.
     let with_alternating_sets =
         |engine: usize, model: u32| behind(engine, model) + (engine as u64 % 2) * 2;
-    let kept = assign(
+    let kept = assign_models(
         &equal_shares(12, 3),
         &lags(&all, |engine, model| {
             with_alternating_sets(engine, model).min(3)
@@ -135,7 +135,7 @@
     );
     assert_eq!(kept, first, "an older version moves no model");
     let left = &all[1..];
-    let second = assign(&equal_shares(11, 3), &lags(left, behind));
+    let second = assign_models(&equal_shares(11, 3), &lags(left, behind));
     for (before, after) in first[1..].iter().zip(&second) {
         let kept = before.iter().all(|model| after.contains(model));
         assert!(
@@ -310,8 +310,8 @@
         let share = engines.len().div_ceil(models.len());
         let at_once = loads_at_most(engines.len());
         let expected = reference_loads(&weights, at_once, (share * 3).div_ceil(4));
-        let division = equal_shares(engines.len(), models.len());
-        prop_assert_eq!(next_loads(&weights, at_once, &division), expected);
+        let model_shares = equal_shares(engines.len(), models.len());
+        prop_assert_eq!(next_loads(&weights, at_once, &model_shares), expected);
     }
 }
 
@@ -357,12 +357,12 @@
             model: ModelKey(model),
             engines: case.needs[model as usize],
         });
-        let division = Division {
+        let model_shares = ModelShares {
             needs: needs.collect(),
             ..equal_shares(case.engines, 3)
         };
         let all: Vec<usize> = (0..case.engines).collect();
-        let assigned = assign(&division, &lags(&all, |_, _| 0));
+        let assigned = assign_models(&model_shares, &lags(&all, |_, _| 0));
         let mut weights: Vec<EngineWeights> = Vec::new();
         for (engine, models) in assigned.iter().enumerate() {
             for model in models {
@@ -379,7 +379,7 @@
                 });
             }
         }
-        let loads = next_loads(&weights, usize::MAX, &division);
+        let loads = next_loads(&weights, usize::MAX, &model_shares);
         for model in 0..3 {
             let of_model = |pair: &&EngineWeights| pair.model.0 == model as u32;
             let serve = weights.iter().filter(of_model).count();
