--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -14,9 +14,9 @@
 use firweir_policy::periodic_work::pause_after;
 use firweir_policy::placement::ModelKey;
 use firweir_policy::weight_loads::EngineWeights;
-use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::max_concurrent_loads;
 use firweir_policy::weight_loads::next_loads;
-use firweir_policy::weight_loads::next_loads_of_all;
+use firweir_policy::weight_loads::next_loads_on_all_engines;
 use firweir_policy::work::UpstreamKey;
 use rand::Rng;
 
@@ -299,7 +299,7 @@
         let next = if self.shared.parts.off.leaves(Mechanism::TwoSets) {
             next_loads(&weighed, at_once, &model_shares)
         } else {
-            next_loads_of_all(&weighed, at_once)
+            next_loads_on_all_engines(&weighed, at_once)
         };
         let running = weighed.iter().filter(|held| held.loading).count();
         self.lock().full = running + next.len() >= at_once;
@@ -315,7 +315,7 @@
     }
 
     fn loads_at_once(&self, engines: usize) -> usize {
-        let most = loads_at_most(engines);
+        let most = max_concurrent_loads(engines);
         if self.shared.parts.off.leaves(Mechanism::LoadLimit) {
             self.lock().limit.at_once(most)
         } else {
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -18,7 +18,7 @@
 use firweir_policy::placement::SampleRequest;
 use firweir_policy::weight_loads::EngineWeights;
 use firweir_policy::weight_loads::ModelShares;
-use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::max_concurrent_loads;
 use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
 
@@ -135,14 +135,14 @@
                 unavailable: false,
             })
             .collect();
-        let at_once = loads_at_most(engines as usize).min(16);
+        let max_concurrent = max_concurrent_loads(engines as usize).min(16);
         let model_shares = ModelShares {
             engines: engines as usize,
             models: 3,
             needs: Vec::new(),
         };
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
-            bencher.iter(|| black_box(next_loads(&weights, at_once, &model_shares)));
+            bencher.iter(|| black_box(next_loads(&weights, max_concurrent, &model_shares)));
         });
     }
     group.finish();
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -9,7 +9,7 @@
 //! they agree on the pool without communication, and an engine that joins or leaves moves no other.
 
 use crate::route::splitmix64;
-use crate::weight_loads::SETS;
+use crate::weight_loads::SETS_PER_MODEL;
 
 /// Part of an engine's slots that a step is to fill: half-full engines lose no speed, and have
 /// free slots for the samples of an engine that is lost.
@@ -31,7 +31,7 @@
 /// with `engines_per_version` engines.
 #[must_use]
 pub const fn pool_slice(engines: usize, engines_per_version: usize) -> FleetSlice {
-    FleetSlice::for_pool(engines, SETS * engines_per_version)
+    FleetSlice::for_pool(engines, SETS_PER_MODEL * engines_per_version)
 }
 
 /// Hash by which the engines of a model are ordered, from the hashes of both names.
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -43,7 +43,7 @@
 const QUARTERS_PER_VERSION: usize = 3;
 
 /// Number of engine sets that get a model's versions alternately.
-pub(crate) const SETS: usize = 2;
+pub(crate) const SETS_PER_MODEL: usize = 2;
 
 /// An engine keeps its models up to this many versions behind, because it gets every other version.
 const MAX_KEPT_LAG: u64 = 2;
@@ -87,7 +87,7 @@
 
     /// Number of engines in both sets of a model.
     fn engines_in_both_sets(&self, model: ModelKey) -> usize {
-        (SETS * self.engines_per_version(model)).min(self.engines)
+        (SETS_PER_MODEL * self.engines_per_version(model)).min(self.engines)
     }
 }
 
@@ -109,7 +109,13 @@
     let primary_count = |model| model_shares.equal_share().min(engines_in_both_sets(model));
     assign_up_to(&mut assigned, &models, &pairs, 1, primary_count);
     if models.len() > 1 {
-        assign_up_to(&mut assigned, &models, &pairs, SETS, engines_in_both_sets);
+        assign_up_to(
+            &mut assigned,
+            &models,
+            &pairs,
+            SETS_PER_MODEL,
+            engines_in_both_sets,
+        );
     }
     assigned
 }
@@ -169,7 +175,7 @@
 
 /// Number of engines that may load concurrently, from the size of the pool alone.
 #[must_use]
-pub fn loads_at_most(engines: usize) -> usize {
+pub fn max_concurrent_loads(engines: usize) -> usize {
     ((engines as f64 * MAX_LOADING_FRACTION).round() as usize).max(1)
 }
 
@@ -187,7 +193,7 @@
 
 /// Loads to order now if every engine gets every version of its models.
 #[must_use]
-pub fn next_loads_of_all(weights: &[EngineWeights], max_concurrent: usize) -> Vec<usize> {
+pub fn next_loads_on_all_engines(weights: &[EngineWeights], max_concurrent: usize) -> Vec<usize> {
     plan_loads(weights, max_concurrent, |_model| usize::MAX)
 }
 
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -11,7 +11,7 @@
 use firweir_policy::weight_loads::ModelShares;
 use firweir_policy::weight_loads::VersionLag;
 use firweir_policy::weight_loads::assign_models;
-use firweir_policy::weight_loads::loads_at_most;
+use firweir_policy::weight_loads::max_concurrent_loads;
 use firweir_policy::weight_loads::next_loads;
 use firweir_policy::work::UpstreamKey;
 use proptest::prelude::*;
@@ -75,7 +75,7 @@
             unavailable: case.unavailable.contains(&at),
         };
         let engines: Vec<_> = case.versions.into_iter().enumerate().map(engine).collect();
-        let loads = next_loads(&engines, loads_at_most(12), &equal_shares(12, 1));
+        let loads = next_loads(&engines, max_concurrent_loads(12), &equal_shares(12, 1));
         assert_eq!(loads, case.loads, "{}", case.name);
     }
 }
@@ -166,7 +166,7 @@
     }
     let mut loaded = Vec::new();
     loop {
-        let loads = next_loads(&weights, loads_at_most(6), &equal_shares(6, 2));
+        let loads = next_loads(&weights, max_concurrent_loads(6), &equal_shares(6, 2));
         let Some(first) = loads.first() else {
             break;
         };
@@ -197,7 +197,7 @@
         add(engine + 6, 1, 3);
         add(engine + 9, 1, 3);
     }
-    let loads = next_loads(&weights, loads_at_most(12), &equal_shares(12, 2));
+    let loads = next_loads(&weights, max_concurrent_loads(12), &equal_shares(12, 2));
     let models: Vec<u32> = loads.iter().map(|at| weights[*at].model.0).collect();
     assert_eq!(models, [1, 1, 1]);
 }
@@ -248,10 +248,14 @@
 
 /// Reference implementation of the plan in `weight_loads`: orders one load at a time and compares
 /// every pair, which is slow on many engines.
-fn reference_loads(weights: &[EngineWeights], at_once: usize, a_version: usize) -> Vec<usize> {
+fn reference_loads(
+    weights: &[EngineWeights],
+    max_concurrent: usize,
+    engines_per_version: usize,
+) -> Vec<usize> {
     let mut planned = weights.to_vec();
     let mut loads = Vec::new();
-    while planned.iter().filter(|pair| pair.loading).count() < at_once {
+    while planned.iter().filter(|pair| pair.loading).count() < max_concurrent {
         let wanted = |at: &usize| {
             let pair = planned[*at];
             let same_engine = || planned.iter().filter(|other| other.engine == pair.engine);
@@ -260,7 +264,10 @@
             let same_model = planned.iter().filter(|other| other.model == pair.model);
             let newest = same_model.filter(|other| other.loading || other.version >= other.named);
             let alone = behind >= 2 && same_engine().count() == 1;
-            !busy && !pair.unavailable && behind > 0 && (alone || newest.count() < a_version)
+            !busy
+                && !pair.unavailable
+                && behind > 0
+                && (alone || newest.count() < engines_per_version)
         };
         let usable = |model: ModelKey| {
             let of_model = planned.iter().filter(|pair| pair.model == model);
@@ -308,10 +315,10 @@
         models.sort_unstable();
         models.dedup();
         let share = engines.len().div_ceil(models.len());
-        let at_once = loads_at_most(engines.len());
-        let expected = reference_loads(&weights, at_once, (share * 3).div_ceil(4));
+        let max_concurrent = max_concurrent_loads(engines.len());
+        let expected = reference_loads(&weights, max_concurrent, (share * 3).div_ceil(4));
         let model_shares = equal_shares(engines.len(), models.len());
-        prop_assert_eq!(next_loads(&weights, at_once, &model_shares), expected);
+        prop_assert_eq!(next_loads(&weights, max_concurrent, &model_shares), expected);
     }
 }
 
