--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -286,7 +286,7 @@
                     engine: UpstreamKey(at as u32),
                     model: ModelKey(model.unwrap_or_default() as u32),
                     version: engine.upstream.version_of(&load.model).unwrap_or_default(),
-                    named: load.version,
+                    latest_version: load.version,
                     loading,
                     unavailable,
                 });
--- a/crates/policy/benches/placement.rs
+++ b/crates/policy/benches/placement.rs
@@ -130,7 +130,7 @@
                 engine: UpstreamKey(pair / 2),
                 model: ModelKey((pair / 2 + pair % 2) % 3),
                 version: u64::from(pair % 5),
-                named: 5,
+                latest_version: 5,
                 loading: false,
                 unavailable: false,
             })
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -166,7 +166,7 @@
     /// Loaded version.
     pub version: u64,
     /// Latest version that the trainer has announced.
-    pub named: u64,
+    pub latest_version: u64,
     /// A load of this model has been ordered and has not ended.
     pub loading: bool,
     /// It accepts no load order now.
@@ -353,7 +353,7 @@
 impl EngineWeights {
     /// Number of versions behind the announced one.
     const fn behind(&self) -> u64 {
-        self.named.saturating_sub(self.version)
+        self.latest_version.saturating_sub(self.version)
     }
 }
 
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -70,7 +70,7 @@
             engine: UpstreamKey(at as u32),
             model: ModelKey(0),
             version,
-            named: 5,
+            latest_version: 5,
             loading: case.loading.contains(&at),
             unavailable: case.unavailable.contains(&at),
         };
@@ -153,12 +153,12 @@
     let versions = [4, 4, 4, 3, 3, 3];
     let mut weights = Vec::new();
     for (at, version) in versions.into_iter().enumerate() {
-        for (model, version, named) in [(0, version, 5), (1, 1, 1)] {
+        for (model, version, latest_version) in [(0, version, 5), (1, 1, 1)] {
             weights.push(EngineWeights {
                 engine: UpstreamKey(at as u32),
                 model: ModelKey(model),
                 version,
-                named,
+                latest_version,
                 loading: false,
                 unavailable: false,
             });
@@ -186,7 +186,7 @@
             engine: UpstreamKey(engine),
             model: ModelKey(model),
             version,
-            named: 5,
+            latest_version: 5,
             loading: false,
             unavailable: false,
         });
@@ -260,9 +260,10 @@
             let pair = planned[*at];
             let same_engine = || planned.iter().filter(|other| other.engine == pair.engine);
             let busy = same_engine().any(|other| other.loading);
-            let behind = pair.named.saturating_sub(pair.version);
+            let behind = pair.latest_version.saturating_sub(pair.version);
             let same_model = planned.iter().filter(|other| other.model == pair.model);
-            let newest = same_model.filter(|other| other.loading || other.version >= other.named);
+            let newest =
+                same_model.filter(|other| other.loading || other.version >= other.latest_version);
             let alone = behind >= 2 && same_engine().count() == 1;
             !busy
                 && !pair.unavailable
@@ -271,13 +272,14 @@
         };
         let usable = |model: ModelKey| {
             let of_model = planned.iter().filter(|pair| pair.model == model);
-            let usable =
-                of_model.filter(|pair| pair.loading || pair.named.saturating_sub(pair.version) < 2);
+            let usable = of_model.filter(|pair| {
+                pair.loading || pair.latest_version.saturating_sub(pair.version) < 2
+            });
             usable.count()
         };
         let next = (0..planned.len()).filter(wanted).min_by_key(|at| {
             let pair = planned[*at];
-            let behind = pair.named.saturating_sub(pair.version);
+            let behind = pair.latest_version.saturating_sub(pair.version);
             (usable(pair.model), Reverse(behind), Reverse(*at))
         });
         let Some(at) = next else {
@@ -304,7 +306,7 @@
                         engine: UpstreamKey(at as u32),
                         model: ModelKey(model),
                         version,
-                        named: 2,
+                        latest_version: 2,
                         loading: *flags == 0,
                         unavailable: *flags == 1,
                     });
@@ -380,7 +382,7 @@
                     // One of the model's sets has the previous version, the other is further
                     // behind.
                     version: 1 + before.count() as u64 % 2,
-                    named: 3,
+                    latest_version: 3,
                     loading: false,
                     unavailable: false,
                 });
