--- a/crates/firweir/src/process/drafting.rs
+++ b/crates/firweir/src/process/drafting.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::straggler::REPORT_EVERY;
+use firweir_policy::straggler::REPORT_INTERVAL;
 use firweir_policy::straggler::Rules;
 use firweir_policy::straggler::is_silent;
 use futures_util::StreamExt;
@@ -303,7 +303,7 @@
     /// when it thaws reaches a sink that no one reads any more.
     async fn silence(&self, plan: &StepPlan<'_>, heard: &Heard) {
         loop {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let silent = is_silent(heard.at.get(), self.now());
             let moves = plan.moves_left.get();
             if silent && moves > 0 {
--- a/crates/firweir/src/process/entry.rs
+++ b/crates/firweir/src/process/entry.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::straggler::REPORT_EVERY;
+use firweir_policy::straggler::REPORT_INTERVAL;
 use firweir_policy::suspect::Isolation;
 use firweir_policy::suspect::LossReport;
 use firweir_policy::suspect::Suspects;
@@ -505,7 +505,7 @@
 async fn pass_on(mut taken: mpsc::UnboundedReceiver<Segment>, progress: &progress::Client) {
     while !taken.is_closed() || !taken.is_empty() {
         let mut segments = Vec::new();
-        let until = tokio::time::Instant::now() + REPORT_EVERY;
+        let until = tokio::time::Instant::now() + REPORT_INTERVAL;
         while let Ok(Some(segment)) = tokio::time::timeout_at(until, taken.recv()).await {
             join(&mut segments, segment);
         }
@@ -515,6 +515,6 @@
             request.get().init_segments(segments.len() as u32),
         );
         // A feed that is gone has given the draft up.
-        drop(within(REPORT_EVERY, request.send().promise).await);
+        drop(within(REPORT_INTERVAL, request.send().promise).await);
     }
 }
--- a/crates/firweir/src/request/draft.rs
+++ b/crates/firweir/src/request/draft.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use eventsource_stream::Eventsource;
-use firweir_policy::straggler::ENGINE_SILENT;
+use firweir_policy::straggler::ENGINE_IDLE_TIMEOUT;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::UpstreamKey;
@@ -181,7 +181,7 @@
         let mut events = BodyDataStream::new(response.into_body()).eventsource();
         let mut assembly = Assembly::default();
         loop {
-            let event = within(ENGINE_SILENT, events.next()).await;
+            let event = within(ENGINE_IDLE_TIMEOUT, events.next()).await;
             let Some(event) = event.ok_or(DraftFault::Silent)? else {
                 break;
             };
--- a/crates/policy/src/straggler.rs
+++ b/crates/policy/src/straggler.rs
@@ -16,15 +16,15 @@
 
 /// Interval at which an entry reports the new text of a draft. If an entry dies, a sample loses
 /// at most the text of one interval.
-pub const REPORT_EVERY: Duration = Duration::from_secs(2);
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time without a report after which an entry is considered dead: three reports in a row are
 /// missing, which a slow network or a busy entry does not explain.
-pub const ENTRY_SILENT: Duration = Duration::from_secs(7);
+pub const ENTRY_REPORT_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// Time without output after which an engine is considered stuck. Prefill of a long prompt plus
 /// a change of weights take less; with a full batch, a chunk takes about a second.
-pub const ENGINE_SILENT: Duration = Duration::from_secs(10);
+pub const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Maximum number of engines that an entry tries for one draft, one after the other: one may
 /// crash and the next may still lack the weights. If more fail, the prompt probably crashes
@@ -95,7 +95,7 @@
 /// moved if the step has a move left.
 #[must_use]
 pub fn is_silent(last_heard: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(last_heard) >= ENTRY_SILENT
+    now.saturating_duration_since(last_heard) >= ENTRY_REPORT_TIMEOUT
 }
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::straggler::ENTRY_SILENT;
+use firweir_policy::straggler::ENTRY_REPORT_TIMEOUT;
 use firweir_policy::straggler::Lengths;
 use firweir_policy::straggler::Rules;
 use firweir_policy::straggler::is_silent;
@@ -104,8 +104,10 @@
 
 #[test]
 fn an_entry_is_silent_after_three_lost_reports() {
-    let now = Instant::now() + ENTRY_SILENT;
-    let last_heard = now.checked_sub(ENTRY_SILENT).expect("after the start");
+    let now = Instant::now() + ENTRY_REPORT_TIMEOUT;
+    let last_heard = now
+        .checked_sub(ENTRY_REPORT_TIMEOUT)
+        .expect("after the start");
     assert!(is_silent(last_heard, now));
     assert!(!is_silent(last_heard + Duration::from_millis(1), now));
 }
