--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -8,7 +8,7 @@
 use firweir::process::entry::balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 use firweir_policy::work::EntryDemands;
 use firweir_policy::work::Finish;
 use firweir_policy::work::Refusal;
@@ -218,10 +218,10 @@
 /// What the policy of this name does about stragglers: the baseline takes every
 /// sample in its order and starts it again if it broke off.
 #[must_use]
-pub fn straggler_rules(name: &str) -> Rules {
+pub fn straggler_rules(name: &str) -> StragglerPolicy {
     if name == "fifo" {
-        Rules::PLAIN
+        StragglerPolicy::DISABLED
     } else {
-        Rules::default()
+        StragglerPolicy::default()
     }
 }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -25,7 +25,7 @@
 use firweir::process::vault;
 use firweir::request::record::FeedRecord;
 use firweir::version::view::Upstream;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 
 use crate::caller::Balancer;
 use crate::caller::Callers;
@@ -134,7 +134,7 @@
     clock: Arc<dyn Clock>,
     seed: u64,
     make_dispatcher: MakeDispatcher,
-    rules: Rules,
+    rules: StragglerPolicy,
 }
 
 fn address(net: u8, host: u32) -> IpAddr {
@@ -151,7 +151,7 @@
         trace: Trace,
         seed: u64,
         make_dispatcher: MakeDispatcher,
-        rules: Rules,
+        rules: StragglerPolicy,
     ) -> io::Result<Self> {
         let fabric = Fabric::new(Latency {
             local: Duration::from_micros(trace.latency.local_us),
--- a/crates/firweir/src/bin/firweir-feed.rs
+++ b/crates/firweir/src/bin/firweir-feed.rs
@@ -10,7 +10,7 @@
 use firweir::process::run::exit_code;
 use firweir::process::run::run_local;
 use firweir::process::settings::Settings;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 
 fn main() -> ExitCode {
     match VmFlags::from_command_line() {
@@ -23,7 +23,9 @@
     start_logging(&settings.log_level);
     let parts = Parts::for_machine(settings)?;
     drop(tokio::task::spawn_local(drain_on_signal(parts.clone())));
-    feed::start(parts.clone(), Rules::default()).await?.await;
+    feed::start(parts.clone(), StragglerPolicy::default())
+        .await?
+        .await;
     parts.journal.event("feed_ended", &[]);
     Ok(())
 }
--- a/crates/firweir/src/process/drafting.rs
+++ b/crates/firweir/src/process/drafting.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use firweir_policy::straggler::REPORT_INTERVAL;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 use firweir_policy::straggler::is_silent;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -236,7 +236,7 @@
             },
             patience: feed.draft_timeout(),
             oldest_version: newest.saturating_sub(feed.staleness_bound_versions),
-            engines: plan.rules.engines,
+            engines: plan.rules.engines_per_draft,
         }
     }
 
@@ -323,20 +323,20 @@
     feed: &'a Feed,
     step: u64,
     prompts: &'a [String],
-    rules: Rules,
+    rules: StragglerPolicy,
     /// Drafts that may still be taken away from silent entries.
     moves_left: Cell<usize>,
 }
 
 impl<'a> StepPlan<'a> {
-    fn new(feed: &'a Feed, step: u64, prompts: &'a [String], rules: Rules) -> Self {
+    fn new(feed: &'a Feed, step: u64, prompts: &'a [String], rules: StragglerPolicy) -> Self {
         let samples = prompts.len() * feed.samples_per_group as usize;
         Self {
             feed,
             step,
             prompts,
             rules,
-            moves_left: Cell::new(rules.moves(samples)),
+            moves_left: Cell::new(rules.max_moves(samples)),
         }
     }
 
--- a/crates/firweir/src/process/feed.rs
+++ b/crates/firweir/src/process/feed.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 use http::Method;
 use http::Request;
 use http::Response;
@@ -85,7 +85,7 @@
     /// Bodies of lots in the vaults.
     pub copies: Copies,
     /// What is done about stragglers.
-    pub rules: Rules,
+    pub rules: StragglerPolicy,
     standing: RefCell<Vec<String>>,
     held: RefCell<Vec<(String, Rc<Holder>)>>,
 }
@@ -97,7 +97,7 @@
 /// The address cannot be listened at.
 pub async fn start(
     parts: Parts,
-    rules: Rules,
+    rules: StragglerPolicy,
 ) -> std::io::Result<impl Future<Output = ()> + use<>> {
     let view = SharedView::default();
     let program = Rc::new(FeedProgram {
--- a/crates/policy/src/straggler.rs
+++ b/crates/policy/src/straggler.rs
@@ -48,42 +48,42 @@
 
 /// Which measures against stragglers are enabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
+pub struct StragglerPolicy {
     /// Whether an interrupted draft continues from its text so far.
     pub resumes: bool,
     /// Whether samples that are expected to be long start first.
     pub longest_first: bool,
     /// Whether drafts are moved away from entries that stop reporting.
-    pub leaves_silent: bool,
+    pub abandons_silent_entries: bool,
     /// Maximum number of engines that an entry tries for one draft.
-    pub engines: u32,
+    pub engines_per_draft: u32,
 }
 
-impl Default for Rules {
+impl Default for StragglerPolicy {
     fn default() -> Self {
         Self {
             resumes: true,
             longest_first: true,
-            leaves_silent: true,
-            engines: MAX_ENGINES_PER_DRAFT,
+            abandons_silent_entries: true,
+            engines_per_draft: MAX_ENGINES_PER_DRAFT,
         }
     }
 }
 
-impl Rules {
+impl StragglerPolicy {
     /// All measures off: samples start in their given order, and an interrupted draft starts
     /// again from nothing.
-    pub const PLAIN: Self = Self {
+    pub const DISABLED: Self = Self {
         resumes: false,
         longest_first: false,
-        leaves_silent: false,
-        engines: 1,
+        abandons_silent_entries: false,
+        engines_per_draft: 1,
     };
 
     /// Maximum number of moves away from silent entries in a step of this many samples.
     #[must_use]
-    pub const fn moves(&self, samples: usize) -> usize {
-        if !self.leaves_silent {
+    pub const fn max_moves(&self, samples: usize) -> usize {
+        if !self.abandons_silent_entries {
             return 0;
         }
         let share = samples * MAX_MOVES_PERCENT / 100;
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -5,7 +5,7 @@
 
 use firweir_policy::straggler::ENTRY_REPORT_TIMEOUT;
 use firweir_policy::straggler::Lengths;
-use firweir_policy::straggler::Rules;
+use firweir_policy::straggler::StragglerPolicy;
 use firweir_policy::straggler::is_silent;
 
 struct OrderCase {
@@ -68,7 +68,7 @@
 
 struct MovesCase {
     name: &'static str,
-    rules: Rules,
+    rules: StragglerPolicy,
     samples: usize,
     moves: usize,
 }
@@ -80,25 +80,30 @@
     let cases = [
         MovesCase {
             name: "a small step",
-            rules: Rules::default(),
+            rules: StragglerPolicy::default(),
             samples: 4,
             moves: 4,
         },
         MovesCase {
             name: "a large step",
-            rules: Rules::default(),
+            rules: StragglerPolicy::default(),
             samples: 4_096,
             moves: 1_024,
         },
         MovesCase {
             name: "disabled rules never move a draft",
-            rules: Rules::PLAIN,
+            rules: StragglerPolicy::DISABLED,
             samples: 4_096,
             moves: 0,
         },
     ];
     for case in cases {
-        assert_eq!(case.rules.moves(case.samples), case.moves, "{}", case.name);
+        assert_eq!(
+            case.rules.max_moves(case.samples),
+            case.moves,
+            "{}",
+            case.name
+        );
     }
 }
 
