--- a/crates/firweir/src/process/drafting.rs
+++ b/crates/firweir/src/process/drafting.rs
@@ -120,7 +120,7 @@
             return slots;
         }
         let prompts: Vec<u64> = slots.iter().map(|slot| plan.prompt_hash(*slot)).collect();
-        let order = self.lengths.borrow().longest_first(&prompts);
+        let order = self.lengths.borrow().order_longest_first(&prompts);
         order.into_iter().map(|position| slots[position]).collect()
     }
 
--- a/crates/firweir/src/process/holder.rs
+++ b/crates/firweir/src/process/holder.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use firweir_policy::pace::Pace;
-use firweir_policy::straggler::Lengths;
+use firweir_policy::straggler::PromptLengths;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
@@ -64,7 +64,7 @@
     lost: CancellationToken,
     pub(crate) drafts_out: Semaphore,
     /// Lengths of answers by prompt; a new holder learns them anew.
-    pub(crate) lengths: RefCell<Lengths>,
+    pub(crate) lengths: RefCell<PromptLengths>,
     /// When the next step starts; a new holder learns this anew too.
     pub(crate) pace: RefCell<Pace>,
     pub(crate) random: RefCell<Pcg64Mcg>,
--- a/crates/policy/src/straggler.rs
+++ b/crates/policy/src/straggler.rs
@@ -104,13 +104,13 @@
     prompt: u64,
     /// Mean length of its answers.
     tokens: f64,
-    /// Value of [`Lengths::recorded`] at its newest answer.
+    /// Value of [`PromptLengths::recorded`] at its newest answer.
     recorded: u64,
 }
 
 /// Estimates the length of answers by prompt.
 #[derive(Debug, Default)]
-pub struct Lengths {
+pub struct PromptLengths {
     /// Sorted by prompt.
     by_prompt: Vec<PromptLength>,
     /// Number of answers recorded so far.
@@ -118,7 +118,7 @@
     mean_tokens: f64,
 }
 
-impl Lengths {
+impl PromptLengths {
     /// Records that an answer to the prompt with this hash had this many tokens.
     pub fn learn(&mut self, prompt: u64, tokens: u32) {
         let tokens = f64::from(tokens);
@@ -158,7 +158,7 @@
     /// Indices into `prompts`, the longest expected answer first; prompts with equal expectations
     /// keep their order.
     #[must_use]
-    pub fn longest_first(&self, prompts: &[u64]) -> Vec<usize> {
+    pub fn order_longest_first(&self, prompts: &[u64]) -> Vec<usize> {
         let mut order: Vec<usize> = (0..prompts.len()).collect();
         order.sort_by(|left, right| {
             let expected = |index: usize| self.expected_tokens(prompts[index]);
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use firweir_policy::straggler::ENTRY_REPORT_TIMEOUT;
-use firweir_policy::straggler::Lengths;
+use firweir_policy::straggler::PromptLengths;
 use firweir_policy::straggler::StragglerPolicy;
 use firweir_policy::straggler::is_silent;
 
@@ -46,11 +46,11 @@
         },
     ];
     for case in cases {
-        let mut lengths = Lengths::default();
+        let mut lengths = PromptLengths::default();
         for (prompt, tokens) in case.answers {
             lengths.learn(*prompt, *tokens);
         }
-        let order = lengths.longest_first(case.prompts);
+        let order = lengths.order_longest_first(case.prompts);
         assert_eq!(order, case.order, "{}", case.name);
     }
 }
@@ -58,7 +58,7 @@
 /// Guards against unbounded memory use of a feed with ever new prompts.
 #[test]
 fn old_prompts_are_forgotten() {
-    let mut lengths = Lengths::default();
+    let mut lengths = PromptLengths::default();
     lengths.learn(u64::MAX, 9_999);
     for prompt in 0..40_000 {
         lengths.learn(prompt, 10);
