--- a/crates/firweir/src/process/holder.rs
+++ b/crates/firweir/src/process/holder.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::pace::Pace;
+use firweir_policy::step_pacing::Pace;
 use firweir_policy::straggler::PromptLengths;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Semaphore;
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/step_pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::pace::Pace;
+use firweir_policy::step_pacing::Pace;
 
 struct WaitCase {
     name: &'static str,
