--- a/crates/firweir/src/process/drafting.rs
+++ b/crates/firweir/src/process/drafting.rs
@@ -105,7 +105,7 @@
         let mut changes = self.changes();
         loop {
             let weight = feed.staleness_weight_percent;
-            let wait = self.pace.borrow().wait(weight, self.now());
+            let wait = self.pace.borrow().start_delay(weight, self.now());
             if wait.is_zero() {
                 return;
             }
--- a/crates/firweir/src/process/holder.rs
+++ b/crates/firweir/src/process/holder.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::step_pacing::Pace;
+use firweir_policy::step_pacing::StepPacer;
 use firweir_policy::straggler::PromptLengths;
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Semaphore;
@@ -66,7 +66,7 @@
     /// Lengths of answers by prompt; a new holder learns them anew.
     pub(crate) lengths: RefCell<PromptLengths>,
     /// When the next step starts; a new holder learns this anew too.
-    pub(crate) pace: RefCell<Pace>,
+    pub(crate) pace: RefCell<StepPacer>,
     pub(crate) random: RefCell<Pcg64Mcg>,
 }
 
@@ -145,7 +145,7 @@
         })
         .await?;
         if outcome.is_ok() {
-            self.pace.borrow_mut().accepted(self.now());
+            self.pace.borrow_mut().record_step_accepted(self.now());
         }
         Ok(outcome)
     }
@@ -187,7 +187,7 @@
     /// The object API refused, or another holder has the feed.
     pub async fn publish_weights(&self, version: u64) -> Result<(), ObjectError> {
         self.update(|record| record.with_weights(version)).await?;
-        self.pace.borrow_mut().published(self.now());
+        self.pace.borrow_mut().record_version_published(self.now());
         Ok(())
     }
 
@@ -331,7 +331,7 @@
             let started = self.now();
             let samples = self.draft_step(&feed, step).await;
             let drafted = self.now().saturating_duration_since(started);
-            self.pace.borrow_mut().drafted(drafted);
+            self.pace.borrow_mut().record_step_drafted(drafted);
             self.seal(Lot::seal(&self.name, step, generation, samples))
                 .await;
         }
--- a/crates/policy/src/step_pacing.rs
+++ b/crates/policy/src/step_pacing.rs
@@ -29,7 +29,7 @@
 
 /// Measures how long steps and training take, and computes when the next step starts.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct StepPacer {
     /// When the trainer accepted its last lot.
     accepted_at: Option<Instant>,
     /// Whether weights were published since then.
@@ -42,16 +42,16 @@
     mean_step_s: Option<f64>,
 }
 
-impl Pace {
+impl StepPacer {
     /// Records that the trainer accepted a lot and now trains on it.
-    pub fn accepted(&mut self, now: Instant) {
+    pub fn record_step_accepted(&mut self, now: Instant) {
         self.accepted_at = Some(now);
         self.is_published = false;
         self.is_swapped = false;
     }
 
     /// Records that the trainer published weights.
-    pub fn published(&mut self, now: Instant) {
+    pub fn record_version_published(&mut self, now: Instant) {
         if let Some(accepted_at) = self.accepted_at.filter(|_| !self.is_published) {
             let train_s = now.saturating_duration_since(accepted_at).as_secs_f64();
             self.mean_train_s = Some(moving_average(self.mean_train_s, train_s));
@@ -61,12 +61,12 @@
     }
 
     /// Records that every engine serves the newest weights.
-    pub fn swapped(&mut self) {
+    pub fn record_weights_swapped(&mut self) {
         self.is_swapped = self.is_published;
     }
 
     /// Records how long it took to generate a whole step.
-    pub fn drafted(&mut self, took: Duration) {
+    pub fn record_step_drafted(&mut self, took: Duration) {
         self.mean_step_s = Some(moving_average(self.mean_step_s, took.as_secs_f64()));
     }
 
@@ -74,7 +74,7 @@
     /// with 100 it waits until every engine serves new weights. In between it starts so that it is
     /// complete when the trainer needs it, with less time to spare the higher the weight is.
     #[must_use]
-    pub fn wait(&self, staleness_weight_percent: u32, now: Instant) -> Duration {
+    pub fn start_delay(&self, staleness_weight_percent: u32, now: Instant) -> Duration {
         let (Some(accepted_at), Some(train_s), Some(step_s)) =
             (self.accepted_at, self.mean_train_s, self.mean_step_s)
         else {
--- a/crates/policy/tests/step_pacing.rs
+++ b/crates/policy/tests/step_pacing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::step_pacing::Pace;
+use firweir_policy::step_pacing::StepPacer;
 
 struct WaitCase {
     name: &'static str,
@@ -60,20 +60,20 @@
     for case in cases {
         let start = Instant::now();
         let train = Duration::from_secs(40);
-        let mut pace = Pace::default();
-        pace.accepted(start);
-        pace.published(start + train);
-        pace.drafted(Duration::from_secs(case.step_s));
-        pace.accepted(start + train);
+        let mut pacer = StepPacer::default();
+        pacer.record_step_accepted(start);
+        pacer.record_version_published(start + train);
+        pacer.record_step_drafted(Duration::from_secs(case.step_s));
+        pacer.record_step_accepted(start + train);
         if case.is_published {
-            pace.published(start + train + train);
+            pacer.record_version_published(start + train + train);
         }
         let now = if case.is_published {
             start + train + train
         } else {
             start + train
         };
-        let wait = pace.wait(case.weight_percent, now);
+        let wait = pacer.start_delay(case.weight_percent, now);
         assert_eq!(wait.as_secs(), case.wait_s, "{}", case.name);
     }
 }
@@ -81,11 +81,11 @@
 /// Guards against a new holder that delays the trainer before it has measured any durations.
 #[test]
 fn a_feed_without_measurements_starts_at_once() {
-    let mut pace = Pace::default();
+    let mut pacer = StepPacer::default();
     let now = Instant::now();
-    assert_eq!(pace.wait(100, now), Duration::ZERO);
-    pace.accepted(now);
-    assert_eq!(pace.wait(100, now), Duration::ZERO);
+    assert_eq!(pacer.start_delay(100, now), Duration::ZERO);
+    pacer.record_step_accepted(now);
+    assert_eq!(pacer.start_delay(100, now), Duration::ZERO);
 }
 
 /// Guards against a wait that continues after every engine serves the published weights, and
@@ -94,14 +94,14 @@
 fn served_weights_end_the_wait() {
     let start = Instant::now();
     let train = Duration::from_secs(40);
-    let mut pace = Pace::default();
-    pace.drafted(Duration::from_secs(10));
-    pace.accepted(start);
-    pace.published(start + train);
-    assert!(pace.wait(100, start + train) > Duration::ZERO);
-    pace.swapped();
-    assert_eq!(pace.wait(100, start + train), Duration::ZERO);
-    pace.accepted(start + train);
-    pace.swapped();
-    assert!(pace.wait(100, start + train) > Duration::ZERO);
+    let mut pacer = StepPacer::default();
+    pacer.record_step_drafted(Duration::from_secs(10));
+    pacer.record_step_accepted(start);
+    pacer.record_version_published(start + train);
+    assert!(pacer.start_delay(100, start + train) > Duration::ZERO);
+    pacer.record_weights_swapped();
+    assert_eq!(pacer.start_delay(100, start + train), Duration::ZERO);
+    pacer.record_step_accepted(start + train);
+    pacer.record_weights_swapped();
+    assert!(pacer.start_delay(100, start + train) > Duration::ZERO);
 }
