--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -102,8 +102,8 @@
 
     /// Last reported number of requests of other senders; 0 once the report has expired.
     fn others(&self, now: Instant) -> u32 {
-        let fresh = |told: &(u32, Instant)| now.duration_since(told.1) <= REPORT_VALID_FOR;
-        self.others.filter(fresh).map_or(0, |(others, _)| others)
+        let is_valid = |report: &(u32, Instant)| now.duration_since(report.1) <= REPORT_VALID_FOR;
+        self.others.filter(is_valid).map_or(0, |(others, _)| others)
     }
 
     /// Highest number of requests of other senders, decayed by its age.
@@ -118,12 +118,12 @@
     /// Slots that stay free for other senders while there is slack: those that they use, and
     /// some more for callers.
     fn reserved_for_others(&self, now: Instant) -> u32 {
-        let free = f64::from(self.state.limit) * RESERVED_FOR_CALLERS;
-        (self.peak(now) + free).ceil() as u32
+        let for_callers = f64::from(self.state.limit) * RESERVED_FOR_CALLERS;
+        (self.peak(now) + for_callers).ceil() as u32
     }
 
-    /// Slots that the calls may use. At least one per upstream unless it is leaving or
-    /// ejected: several senders count each other's calls as load, and would all wait for ever.
+    /// Slots that the calls may use. At least one unless the upstream is leaving or ejected:
+    /// several senders count each other's calls as load, and could otherwise all wait forever.
     fn usable_slots(&mut self, now: Instant, use_all_slots: bool) -> u32 {
         let usable = if self.state.leaving {
             0
@@ -133,15 +133,15 @@
         if use_all_slots {
             return usable;
         }
-        let left = self
+        let unreserved = self
             .state
             .limit
             .saturating_sub(self.reserved_for_others(now));
-        usable.min(left.max(1))
+        usable.min(unreserved.max(1))
     }
 
-    fn record_load(&mut self, now: Instant, told: ReportedLoad) {
-        let all = told.total();
+    fn record_load(&mut self, now: Instant, load: ReportedLoad) {
+        let all = load.total();
         let others = all.saturating_sub(self.in_flight);
         self.others = Some((others, now));
         if f64::from(others) >= self.peak(now) {
@@ -193,10 +193,10 @@
         let mut deadlines: Vec<Instant> = self.waiting.iter().map(|work| work.deadline).collect();
         deadlines.extend(running);
         deadlines.sort_unstable();
-        let needed = deadlines.iter().enumerate().map(|(before, deadline)| {
-            let left = deadline.saturating_duration_since(now);
-            let left_s = left.mul_f64(USABLE_TIME_FRACTION).as_secs_f64();
-            (before + 1) as f64 * service_s / left_s.max(f64::MIN_POSITIVE)
+        let needed = deadlines.iter().enumerate().map(|(earlier, deadline)| {
+            let remaining = deadline.saturating_duration_since(now);
+            let usable_s = remaining.mul_f64(USABLE_TIME_FRACTION).as_secs_f64();
+            (earlier + 1) as f64 * service_s / usable_s.max(f64::MIN_POSITIVE)
         });
         needed.fold(1.0, f64::max).ceil()
     }
@@ -219,9 +219,9 @@
         if self.running.is_empty() {
             self.window = paced_slots.div_ceil(2).max(1);
         }
-        let is_short = needed > f64::from(paced_slots);
-        let use_all_slots = self.unpaced || is_short;
-        let max_running = match (self.unpaced, is_short) {
+        let is_time_short = needed > f64::from(paced_slots);
+        let use_all_slots = self.unpaced || is_time_short;
+        let max_running = match (self.unpaced, is_time_short) {
             (true, _) => f64::INFINITY,
             (false, true) => needed,
             (false, false) => f64::from(self.window),
@@ -243,17 +243,17 @@
         avoid: &[UpstreamKey],
         use_all_slots: bool,
     ) -> Option<usize> {
-        let mut free = Vec::new();
+        let mut candidates = Vec::new();
         for (index, upstream) in self.upstreams.iter_mut().enumerate() {
             if upstream.in_flight < upstream.usable_slots(now, use_all_slots) {
-                free.push((
+                candidates.push((
                     avoid.contains(&upstream.state.key),
                     upstream.score(now),
                     index,
                 ));
             }
         }
-        let best = free
+        let best = candidates
             .into_iter()
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         best.map(|(_, _, index)| index)
@@ -310,7 +310,7 @@
         &mut self,
         now: Instant,
         upstreams: &[UpstreamState],
-        _fleet: &EntryDemands<'_>,
+        _entries: &EntryDemands<'_>,
     ) {
         let is_first = self.upstreams.is_empty();
         let known = std::mem::take(&mut self.upstreams);
@@ -318,13 +318,13 @@
             .iter()
             .map(|state| {
                 let index = known.binary_search_by_key(&state.key, |upstream| upstream.state.key);
-                let fresh = || {
+                let new_upstream = || {
                     let warm = Upstream::new(*state, Health::warm());
                     let new = Upstream::new(*state, Health::new(now));
                     if is_first { warm } else { new }
                 };
                 index.map_or_else(
-                    |_| fresh(),
+                    |_| new_upstream(),
                     |index| Upstream {
                         state: *state,
                         ..known[index]
@@ -371,10 +371,10 @@
         if let Some(index) = self.index_of(ended.upstream) {
             let upstream = &mut self.upstreams[index];
             // The reported load includes the request that this response answers.
-            if let Some(told) = finish.reported_load {
-                upstream.record_load(now, told);
+            if let Some(load) = finish.reported_load {
+                upstream.record_load(now, load);
             }
-            let is_full = |told: ReportedLoad| told.total() > told.slots;
+            let is_full = |load: ReportedLoad| load.total() > load.slots;
             if finish.ending == Ending::Answered && !finish.reported_load.is_some_and(is_full) {
                 self.window += 1;
             }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -357,7 +357,7 @@
             self.slots.record_load(now, ended.upstream, load);
         }
         if let Some(occupancy) = &mut self.occupancy {
-            occupancy.ended(now, ended.upstream, finish);
+            occupancy.record_end(now, ended.upstream, finish);
         }
         self.slots.release(
             now,
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -45,7 +45,7 @@
     /// Records that work starts at this upstream, and closes the upstream if it is full now.
     pub(super) fn record_start(&mut self, now: Instant, upstream: UpstreamKey) {
         if let Some(occupancy) = &mut self.occupancy {
-            occupancy.started(now, upstream);
+            occupancy.record_start(now, upstream);
             let is_closed = !occupancy.has_room(now, upstream);
             self.slots.set_closed(upstream, is_closed);
         }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -35,7 +35,7 @@
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// Part of the share that is usable at the beginning of a slow start.
-const SLOW_START_FROM: f64 = 0.25;
+const SLOW_START_FRACTION: f64 = 0.25;
 
 /// Weight of one answer in the moving average of the time per token.
 const MEAN_WEIGHT: f64 = 0.1;
@@ -95,7 +95,7 @@
         health
     }
 
-    /// Records how work ended. Without `may_eject`, failures eject no upstream.
+    /// Records how work ended. `may_eject`: whether repeated failures may eject the upstream.
     pub fn record_end(
         &mut self,
         now: Instant,
@@ -105,7 +105,7 @@
         may_eject: bool,
     ) {
         match ending {
-            Ending::Answered => self.answered(now, cost_tokens, elapsed),
+            Ending::Answered => self.record_answer(now, cost_tokens, elapsed),
             Ending::Unreachable => {
                 let until = now + UNREACHABLE_EJECTION;
                 self.was_slow = false;
@@ -127,7 +127,7 @@
         }
     }
 
-    fn answered(&mut self, now: Instant, cost_tokens: u32, elapsed: Duration) {
+    fn record_answer(&mut self, now: Instant, cost_tokens: u32, elapsed: Duration) {
         let us_per_token = elapsed.as_secs_f64() * 1e6 / f64::from(cost_tokens.max(1));
         self.consecutive_failures = 0;
         if self.state == State::Probing {
@@ -226,7 +226,7 @@
                     return share;
                 }
                 let elapsed_fraction = age.as_secs_f64() / SLOW_START.as_secs_f64();
-                let fraction = SLOW_START_FROM + (1.0 - SLOW_START_FROM) * elapsed_fraction;
+                let fraction = SLOW_START_FRACTION + (1.0 - SLOW_START_FRACTION) * elapsed_fraction;
                 (f64::from(share) * fraction).ceil() as u32
             }
             State::Ejected { until } if until > now => 0,
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -130,7 +130,7 @@
     }
 
     /// Records the start of a call at the upstream.
-    pub fn started(&mut self, now: Instant, key: UpstreamKey) {
+    pub fn record_start(&mut self, now: Instant, key: UpstreamKey) {
         let factor = self.jitter();
         let Some(upstream) = self.upstream_mut(key) else {
             return;
@@ -147,7 +147,7 @@
     }
 
     /// Records the end of a call at the upstream.
-    pub fn ended(&mut self, now: Instant, key: UpstreamKey, finish: &Finish) {
+    pub fn record_end(&mut self, now: Instant, key: UpstreamKey, finish: &Finish) {
         let factor = self.jitter();
         let Some(upstream) = self.upstream_mut(key) else {
             return;
@@ -155,8 +155,8 @@
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         upstream.record_report(now, finish.reported_load);
         match finish.ending {
-            Ending::Refused => upstream.refused(now, factor),
-            Ending::Answered => upstream.answered(now, finish),
+            Ending::Refused => upstream.record_refusal(now, factor),
+            Ending::Answered => upstream.record_answer(now, finish),
             Ending::Unreachable | Ending::Failed | Ending::Abandoned => {}
         }
     }
@@ -327,7 +327,7 @@
         }
     }
 
-    fn answered(&mut self, now: Instant, finish: &Finish) {
+    fn record_answer(&mut self, now: Instant, finish: &Finish) {
         let per_slot = finish.reported_load.map_or(0.0, waiting_per_slot);
         let service_time = finish.elapsed.div_f64(1.0 + per_slot);
         self.service_time = moving_mean(self.service_time, service_time);
@@ -348,7 +348,7 @@
         }
     }
 
-    fn refused(&mut self, now: Instant, factor: f64) {
+    fn record_refusal(&mut self, now: Instant, factor: f64) {
         self.cut(now, REFUSAL_FACTOR);
         let drains = match self.reported {
             Some(reported) if reported.at == now => {
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -63,22 +63,22 @@
 }
 
 impl ShareRange {
-    /// Share of the entry at `fleet.rank`, where all entries together may have `capacity` requests
-    /// in flight.
+    /// Share of the entry at `entries.rank`, where all entries together may have `capacity`
+    /// requests in flight.
     #[must_use]
-    pub fn of_entry(fleet: &EntryDemands<'_>, capacity: f64) -> Self {
-        let live = fleet.demands.len().max(1) as f64;
-        let known = fleet.known_entries as f64;
+    pub fn of_entry(entries: &EntryDemands<'_>, capacity: f64) -> Self {
+        let live = entries.demands.len().max(1) as f64;
+        let known = entries.known_entries as f64;
         if live < known * PARTITIONED_BELOW {
             let width = 1.0 / known;
-            let start = fleet.rank as f64 * width;
+            let start = entries.rank as f64 * width;
             return Self {
                 start,
                 end: start + width,
             };
         }
-        let level = max_min_slots(fleet.demands, capacity);
-        let allotted: Vec<f64> = fleet
+        let level = max_min_slots(entries.demands, capacity);
+        let allotted: Vec<f64> = entries
             .demands
             .iter()
             .map(|demand| need(*demand).min(level))
@@ -86,8 +86,8 @@
         // Capacity that no entry needs is divided equally, for demand that is not known yet.
         let unneeded_each = (capacity - allotted.iter().sum::<f64>()).max(0.0) / live;
         let width = |slots: &f64| (slots + unneeded_each) / capacity;
-        let start = allotted.iter().take(fleet.rank).map(width).sum();
-        let own = allotted.get(fleet.rank).map_or(0.0, width);
+        let start = allotted.iter().take(entries.rank).map(width).sum();
+        let own = allotted.get(entries.rank).map_or(0.0, width);
         Self {
             start,
             end: start + own,
@@ -120,10 +120,10 @@
 }
 
 impl EffectiveShare {
-    /// Computes the share for the fleet as known now. `capacity` is the sum of the upstreams'
+    /// Computes the share from the entries as known now. `capacity` is the sum of the upstreams'
     /// limits.
-    pub fn set(&mut self, now: Instant, fleet: &EntryDemands<'_>, capacity: f64) {
-        let share = ShareRange::of_entry(fleet, capacity);
+    pub fn set(&mut self, now: Instant, entries: &EntryDemands<'_>, capacity: f64) {
+        let share = ShareRange::of_entry(entries, capacity);
         if self.computed.is_empty() {
             // The other entries divide the whole limit among themselves until they know of this
             // one.
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -63,7 +63,8 @@
     index_by_key: Vec<u32>,
     ring: Ring,
     entry_share: EffectiveShare,
-    /// Number of all upstreams divided by the number in the subset.
+    /// Number of all upstreams divided by the number in the subset. Limits are scaled by it, since
+    /// this entry uses only the subset.
     scale: f64,
     usable: u32,
     free: u32,
@@ -89,13 +90,13 @@
         &mut self,
         now: Instant,
         upstreams: &[UpstreamState],
-        fleet: &EntryDemands<'_>,
+        entries: &EntryDemands<'_>,
     ) {
-        let chosen = subset(upstreams, fleet.rank, fleet.demands.len());
+        let chosen = subset(upstreams, entries.rank, entries.demands.len());
         self.scale = upstreams.len() as f64 / chosen.len().max(1) as f64;
         let limits = upstreams.iter().map(|state| f64::from(state.limit));
         self.entry_share
-            .set(now, fleet, limits.sum::<f64>().max(1.0));
+            .set(now, entries, limits.sum::<f64>().max(1.0));
         let is_unchanged = chosen.len() == self.upstreams.len()
             && chosen
                 .iter()
@@ -161,9 +162,9 @@
     pub fn refresh(&mut self, now: Instant, limit: &AimdLimit) {
         let entry_range = self.entry_share.get(now);
         for upstream in &mut self.upstreams {
-            let limit_of_all = limit.apply(f64::from(upstream.state.limit)) * self.scale;
+            let scaled_limit = limit.apply(f64::from(upstream.state.limit)) * self.scale;
             let offset = splitmix64(upstream.state.hash) as f64 / u64::MAX as f64;
-            upstream.share = entry_range.slots(limit_of_all, offset);
+            upstream.share = entry_range.slots(scaled_limit, offset);
         }
         if self.upstreams.iter().all(|upstream| upstream.share == 0) {
             // The limit is smaller than the number of entries. An entry without any slot
--- a/crates/policy/src/suspect.rs
+++ b/crates/policy/src/suspect.rs
@@ -80,8 +80,8 @@
     pub fn record_loss(&mut self, now: Instant, fingerprint: u64) -> u32 {
         self.drop_expired(now);
         match self.find(fingerprint) {
-            Ok(found) => {
-                let suspect = &mut self.own[found];
+            Ok(index) => {
+                let suspect = &mut self.own[index];
                 suspect.losses += 1;
                 suspect.last_loss = now;
                 suspect.losses
@@ -101,8 +101,8 @@
 
     /// Clears the request after a full answer: it did not cause the losses.
     pub fn clear(&mut self, fingerprint: u64) {
-        if let Ok(found) = self.find(fingerprint) {
-            self.own.remove(found);
+        if let Ok(index) = self.find(fingerprint) {
+            self.own.remove(index);
         }
     }
 
@@ -124,7 +124,7 @@
     /// Restriction under which the request may run now.
     #[must_use]
     pub fn isolation(&self, now: Instant, fingerprint: u64) -> Isolation {
-        let own = self.find(fingerprint).ok().map(|found| self.own[found]);
+        let own = self.find(fingerprint).ok().map(|index| self.own[index]);
         let own = own.filter(|suspect| now < suspect.last_loss + SUSPICION_EXPIRY);
         let losses =
             own.map_or(0, |suspect| suspect.losses) + self.losses_elsewhere(now, fingerprint);
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -286,7 +286,7 @@
             max_ended_ms: 480,
         },
         Case {
-            name: "short: all places are used, once the first answers tell how long calls take",
+            name: "short: all slots are used, once the first answers tell how long calls take",
             load: Load {
                 due_ms: 1_000,
                 ..Load::step()
--- a/crates/policy/tests/home_selection.rs
+++ b/crates/policy/tests/home_selection.rs
@@ -80,7 +80,8 @@
         let mut fleet = fleet(case.large, case.small);
         choose_homes(&mut fleet, case.models);
         let (large, small) = fleet.split_at(case.large as usize);
-        let most = |held: &[HomeCandidate]| held.iter().map(|node| node.models).max().unwrap_or(0);
+        let most =
+            |nodes: &[HomeCandidate]| nodes.iter().map(|node| node.models).max().unwrap_or(0);
         assert!(most(large) <= case.most_large, "{}: large", case.name);
         assert!(most(small) <= case.most_small, "{}: small", case.name);
     }
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -51,8 +51,8 @@
 fn refused(now: Instant, waiting: Option<u32>) -> Occupancy {
     let mut occupancy = Occupancy::new(SEED);
     occupancy.set_upstreams(&[state(UPSTREAM)]);
-    occupancy.started(now, UPSTREAM);
-    occupancy.ended(now, UPSTREAM, &ended(Ending::Refused, waiting));
+    occupancy.record_start(now, UPSTREAM);
+    occupancy.record_end(now, UPSTREAM, &ended(Ending::Refused, waiting));
     occupancy
 }
 
@@ -74,8 +74,8 @@
     let pause = |seed| {
         let mut occupancy = Occupancy::new(seed);
         occupancy.set_upstreams(&[state(UPSTREAM)]);
-        occupancy.started(now, UPSTREAM);
-        occupancy.ended(now, UPSTREAM, &ended(Ending::Refused, None));
+        occupancy.record_start(now, UPSTREAM);
+        occupancy.record_end(now, UPSTREAM, &ended(Ending::Refused, None));
         occupancy.next_room(now)
     };
     assert_ne!(pause(1), pause(2));
@@ -88,8 +88,8 @@
     let now = Instant::now();
     let mut occupancy = Occupancy::new(SEED);
     occupancy.set_upstreams(&[state(UPSTREAM)]);
-    occupancy.started(now, UPSTREAM);
-    occupancy.ended(now, UPSTREAM, &ended(Ending::Answered, Some(10_000)));
+    occupancy.record_start(now, UPSTREAM);
+    occupancy.record_end(now, UPSTREAM, &ended(Ending::Answered, Some(10_000)));
     assert!(!occupancy.has_room(now, UPSTREAM));
     assert!(occupancy.has_room(now + Duration::from_secs(1), UPSTREAM));
 }
@@ -115,15 +115,15 @@
     let mut occupancy = Occupancy::new(SEED);
     occupancy.set_upstreams(&[state(UPSTREAM)]);
     for _ in 0..4 {
-        occupancy.started(now, UPSTREAM);
+        occupancy.record_start(now, UPSTREAM);
         now += CALL_TIME * 4;
-        occupancy.ended(now, UPSTREAM, &ended(Ending::Refused, None));
+        occupancy.record_end(now, UPSTREAM, &ended(Ending::Refused, None));
     }
     assert!(occupancy.is_congested());
     assert!(occupancy.milli_slots() < 1_000);
     now += Duration::from_secs(10);
-    occupancy.started(now, UPSTREAM);
-    occupancy.ended(now, UPSTREAM, &ended(Ending::Abandoned, None));
+    occupancy.record_start(now, UPSTREAM);
+    occupancy.record_end(now, UPSTREAM, &ended(Ending::Abandoned, None));
     assert!(!occupancy.has_room(now, UPSTREAM));
     let opens = occupancy.next_room(now).expect("it opens by time alone");
     assert!(opens > now + CALL_TIME);
@@ -143,8 +143,8 @@
 fn the_sum_of_a_report_does_not_overflow() {
     let now = Instant::now();
     let mut occupancy = refused(now, Some(u32::MAX));
-    occupancy.started(now, UPSTREAM);
-    occupancy.ended(now, UPSTREAM, &ended(Ending::Answered, Some(u32::MAX)));
+    occupancy.record_start(now, UPSTREAM);
+    occupancy.record_end(now, UPSTREAM, &ended(Ending::Answered, Some(u32::MAX)));
     assert!(!occupancy.has_room(now, UPSTREAM));
 }
 
@@ -178,7 +178,7 @@
     dispatcher.offer(now, work(200, 0, deadline));
     let shed = dispatcher.next_decision();
     let Some(Decision::Refuse { work, reason, .. }) = shed else {
-        panic!("one call gives way, not {shed:?}");
+        panic!("expected one call to be shed, got {shed:?}");
     };
     assert_ne!(work, WorkKey(200));
     assert_eq!(reason, Refusal::LowPriority);
