--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use firweir_policy::scaling::Supply;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::work::ReportedLoad;
 use http::HeaderMap;
 use http::Request;
@@ -213,7 +213,7 @@
     /// The availability zone.
     pub zone: &'a str,
     /// On-demand or spot.
-    pub supply: Supply,
+    pub capacity_type: CapacityType,
     /// Total number of this kind that the zone is to have.
     pub count: u32,
     /// Name of the node that holds the duty of ordering.
--- a/crates/node/src/scaling/calls.rs
+++ b/crates/node/src/scaling/calls.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use firweir_policy::scaling::CAPACITY_TYPES;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Order;
-use firweir_policy::scaling::SUPPLIES;
-use firweir_policy::scaling::Supply;
 
 use crate::dialect::DutyAnswer;
 use crate::dialect::ScaleOrder;
@@ -34,8 +34,8 @@
         settings: &ScalingSettings,
     ) -> Result<(), StoreError> {
         for at in places_of(progress, scaled) {
-            for supply in SUPPLIES {
-                let unconfirmed = progress.subjects[at].line(supply).unconfirmed;
+            for capacity_type in CAPACITY_TYPES {
+                let unconfirmed = progress.subjects[at].line(capacity_type).unconfirmed;
                 let now = self.parts.clock.now();
                 let Some(unconfirmed) = unconfirmed.filter(|held| held.from <= now) else {
                     continue;
@@ -46,7 +46,10 @@
                     return Ok(());
                 };
                 self.note_sent(progress, at, &unconfirmed.order, scaled, answer);
-                if !self.take_answer(progress, at, supply, answer).await? {
+                if !self
+                    .take_answer(progress, at, capacity_type, answer)
+                    .await?
+                {
                     return Ok(());
                 }
             }
@@ -77,7 +80,7 @@
         let request = parts.dialect.scale_order(&ScaleOrder {
             service: &subject.service,
             zone: &subject.zone,
-            supply: order.supply,
+            capacity_type: order.capacity_type,
             count: order.count,
             holder: parts.holder.name(),
             epoch,
@@ -98,18 +101,18 @@
         &self,
         progress: &mut Progress,
         at: usize,
-        supply: Supply,
+        capacity_type: CapacityType,
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
         let subject = &mut progress.subjects[at];
         match answer {
-            DutyAnswer::Done => subject.note_done(supply, now),
+            DutyAnswer::Done => subject.note_done(capacity_type, now),
             DutyAnswer::Later => {
-                subject.send_again(supply, now + Self::pause());
+                subject.send_again(capacity_type, now + Self::pause());
                 return Ok(true);
             }
-            DutyAnswer::Unavailable => subject.note_unavailable(supply, now + ASK_AGAIN),
+            DutyAnswer::Unavailable => subject.note_unavailable(capacity_type, now + ASK_AGAIN),
         }
         // Without this write a successor would repeat an order that was already answered.
         let Some(epoch) = self.verified(progress.epoch).await else {
@@ -144,7 +147,7 @@
             &[
                 ("service", &subject.service),
                 ("zone", &subject.zone),
-                ("kind", &format_args!("{:?}", order.supply)),
+                ("kind", &format_args!("{:?}", order.capacity_type)),
                 ("number", &order.count),
                 ("before", &order.before),
                 ("demand", &demand),
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -7,9 +7,9 @@
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
 use firweir_policy::scaling::Bounds;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Demand;
-use firweir_policy::scaling::Supply;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling::orders;
 use firweir_policy::scaling_repeats::expected;
@@ -208,7 +208,7 @@
         let last = record.last_orders();
         subject.take_over(expected(&last, listed), listed, now);
         for order in repeats(0, &last, listed, &self.bounds(service, limits)) {
-            subject.order(order, listed.of(order.supply), now);
+            subject.order(order, listed.of(order.capacity_type), now);
         }
     }
 
@@ -243,13 +243,13 @@
         for order in due {
             let subject = &mut progress.subjects[places[order.zone]];
             // An unconfirmed order of the same kind has to be answered first.
-            if subject.line(order.supply).unconfirmed.is_some() {
+            if subject.line(order.capacity_type).unconfirmed.is_some() {
                 continue;
             }
             let Some(epoch) = self.verified(progress.epoch).await else {
                 return Ok(());
             };
-            let listed = zones[order.zone].listed.of(order.supply);
+            let listed = zones[order.zone].listed.of(order.capacity_type);
             subject.order(order, listed, self.parts.clock.now());
             subject.write(&self.parts.store, epoch).await?;
         }
@@ -271,7 +271,7 @@
         let mut listed = Counts::default();
         for upstream in self.parts.fleet.upstreams().iter() {
             if upstream.service == service && upstream.zone == zone && !upstream.leaving {
-                *listed.of_mut(supply_of(upstream)) += 1;
+                *listed.of_mut(capacity_type_of(upstream)) += 1;
             }
         }
         listed
@@ -332,10 +332,10 @@
     places.collect()
 }
 
-const fn supply_of(upstream: &Upstream) -> Supply {
+const fn capacity_type_of(upstream: &Upstream) -> CapacityType {
     if upstream.is_spot {
-        Supply::Spot
+        CapacityType::Spot
     } else {
-        Supply::OnDemand
+        CapacityType::OnDemand
     }
 }
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_policy::scaling::CAPACITY_TYPES;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
 use firweir_policy::scaling::Ordered;
-use firweir_policy::scaling::SUPPLIES;
-use firweir_policy::scaling::Supply;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling_repeats::LastOrder;
 use serde::Deserialize;
@@ -78,7 +78,7 @@
     revision: Option<u64>,
     /// Epoch of the holder that wrote the record.
     epoch: u64,
-    lines: [Line; SUPPLIES.len()],
+    lines: [Line; CAPACITY_TYPES.len()],
 }
 
 impl Subject {
@@ -90,7 +90,7 @@
             zone: zone.to_owned(),
             revision: None,
             epoch: 0,
-            lines: [Line::default(); SUPPLIES.len()],
+            lines: [Line::default(); CAPACITY_TYPES.len()],
         }
     }
 
@@ -111,34 +111,36 @@
 
     /// Counts upstreams ordered by an earlier holder as present while they may still boot.
     pub fn take_over(&mut self, expected: Counts, listed: Counts, now: Instant) {
-        for supply in SUPPLIES {
-            let (count, listed) = (expected.of(supply), listed.of(supply));
+        for capacity_type in CAPACITY_TYPES {
+            let (count, listed) = (expected.of(capacity_type), listed.of(capacity_type));
             if count > listed {
                 let at = now;
-                self.line_mut(supply).ordered = Some(Ordered { count, listed, at });
+                self.line_mut(capacity_type).ordered = Some(Ordered { count, listed, at });
             }
         }
     }
 
     /// State of the orders of a kind.
     #[must_use]
-    pub const fn line(&self, supply: Supply) -> &Line {
-        &self.lines[supply as usize]
+    pub const fn line(&self, capacity_type: CapacityType) -> &Line {
+        &self.lines[capacity_type as usize]
     }
 
-    const fn line_mut(&mut self, supply: Supply) -> &mut Line {
-        &mut self.lines[supply as usize]
+    const fn line_mut(&mut self, capacity_type: CapacityType) -> &mut Line {
+        &mut self.lines[capacity_type as usize]
     }
 
     /// Number last ordered of a kind; `None` if there is no order.
     #[must_use]
-    pub fn last(&self, supply: Supply) -> Option<u32> {
-        self.line(supply).ordered.map(|ordered| ordered.count)
+    pub fn last(&self, capacity_type: CapacityType) -> Option<u32> {
+        self.line(capacity_type)
+            .ordered
+            .map(|ordered| ordered.count)
     }
 
     /// Adds an order that is to be sent. `listed` is the number of upstreams of its kind now.
     pub fn order(&mut self, order: Order, listed: u32, now: Instant) {
-        let line = self.line_mut(order.supply);
+        let line = self.line_mut(order.capacity_type);
         let previous = line.ordered;
         line.ordered = Some(Ordered {
             count: order.count,
@@ -153,8 +155,8 @@
     }
 
     /// Records that the platform has carried out an order.
-    pub fn note_done(&mut self, supply: Supply, now: Instant) {
-        let line = self.line_mut(supply);
+    pub fn note_done(&mut self, capacity_type: CapacityType, now: Instant) {
+        let line = self.line_mut(capacity_type);
         line.unconfirmed = None;
         if let Some(ordered) = &mut line.ordered {
             ordered.at = now;
@@ -162,16 +164,16 @@
     }
 
     /// Records that the platform has no more of a kind, and that it is not asked before `until`.
-    pub fn note_unavailable(&mut self, supply: Supply, until: Instant) {
-        let line = self.line_mut(supply);
+    pub fn note_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
+        let line = self.line_mut(capacity_type);
         let unconfirmed = line.unconfirmed.take();
         line.ordered = unconfirmed.and_then(|held| held.previous);
         line.unavailable_until = Some(until);
     }
 
     /// Schedules an order again that got no answer or could not be carried out at the moment.
-    pub fn send_again(&mut self, supply: Supply, from: Instant) {
-        if let Some(unconfirmed) = &mut self.line_mut(supply).unconfirmed {
+    pub fn send_again(&mut self, capacity_type: CapacityType, from: Instant) {
+        if let Some(unconfirmed) = &mut self.line_mut(capacity_type).unconfirmed {
             unconfirmed.from = from;
         }
     }
@@ -179,14 +181,15 @@
     /// The zone as input for decisions. `boot` is the boot time of an upstream.
     #[must_use]
     pub fn view(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
-        let is_out = |supply| {
-            let until = self.line(supply).unavailable_until;
+        let is_out = |capacity_type| {
+            let until = self.line(capacity_type).unavailable_until;
             until.is_some_and(|until| now < until)
         };
         let mut present = listed;
-        for supply in SUPPLIES {
-            if let Some(ordered) = self.line(supply).ordered {
-                *present.of_mut(supply) = ordered.present(listed.of(supply), now, boot);
+        for capacity_type in CAPACITY_TYPES {
+            if let Some(ordered) = self.line(capacity_type).ordered {
+                *present.of_mut(capacity_type) =
+                    ordered.present(listed.of(capacity_type), now, boot);
             }
         }
         let mut ordered = self.lines.iter().filter_map(|line| line.ordered);
@@ -198,8 +201,8 @@
             price,
             listed,
             present,
-            no_on_demand: is_reducing || is_out(Supply::OnDemand),
-            no_spot: is_reducing || is_out(Supply::Spot),
+            no_on_demand: is_reducing || is_out(CapacityType::OnDemand),
+            no_spot: is_reducing || is_out(CapacityType::Spot),
             is_settling: is_unconfirmed || ordered.any(|held| held.is_settling(now, boot)),
             running: 0,
         }
@@ -214,16 +217,16 @@
         if self.is_newer_than(epoch) {
             return Err(StoreError::Conflict);
         }
-        let is_unconfirmed = |supply| self.line(supply).unconfirmed.is_some();
+        let is_unconfirmed = |capacity_type| self.line(capacity_type).unconfirmed.is_some();
         let record = Record {
             write: store.write_id(),
             service: self.service.clone(),
             zone: self.zone.clone(),
             epoch,
-            on_demand: self.last(Supply::OnDemand),
-            spot: self.last(Supply::Spot),
-            on_demand_unconfirmed: is_unconfirmed(Supply::OnDemand),
-            spot_unconfirmed: is_unconfirmed(Supply::Spot),
+            on_demand: self.last(CapacityType::OnDemand),
+            spot: self.last(CapacityType::Spot),
+            on_demand_unconfirmed: is_unconfirmed(CapacityType::OnDemand),
+            spot_unconfirmed: is_unconfirmed(CapacityType::Spot),
         };
         let (kind, name) = (Kind::ScaleOrders, self.name());
         self.revision = Some(match self.revision {
@@ -246,12 +249,16 @@
     /// The orders in the record.
     #[must_use]
     pub fn last_orders(&self) -> Vec<LastOrder> {
-        let on_demand = (Supply::OnDemand, self.on_demand, self.on_demand_unconfirmed);
-        let spot = (Supply::Spot, self.spot, self.spot_unconfirmed);
+        let on_demand = (
+            CapacityType::OnDemand,
+            self.on_demand,
+            self.on_demand_unconfirmed,
+        );
+        let spot = (CapacityType::Spot, self.spot, self.spot_unconfirmed);
         let lines = [on_demand, spot].into_iter();
-        let read = |(supply, count, is_unconfirmed): (Supply, Option<u32>, bool)| {
+        let read = |(capacity_type, count, is_unconfirmed): (CapacityType, Option<u32>, bool)| {
             count.map(|count| LastOrder {
-                supply,
+                capacity_type,
                 count,
                 is_confirmed: !is_unconfirmed,
             })
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -6,10 +6,10 @@
 use firweir_node::scaling::inquiry::Inquiries;
 use firweir_node::scaling::subject::Record;
 use firweir_node::scaling::subject::Subject;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
 use firweir_policy::scaling::Reason;
-use firweir_policy::scaling::Supply;
 use firweir_policy::scaling_repeats::expected;
 use serde_json::json;
 
@@ -37,7 +37,7 @@
     let mut subject = Subject::new("drafts", "z1");
     let fewer = Order {
         zone: 0,
-        supply: Supply::OnDemand,
+        capacity_type: CapacityType::OnDemand,
         count: 3,
         before: 4,
         reason: Reason::TooMany,
@@ -45,7 +45,7 @@
     subject.order(fewer, 4, now);
     let zone = subject.view(LISTED, 1.0, now, BOOT);
     assert!(zone.no_on_demand && zone.no_spot);
-    subject.note_done(Supply::OnDemand, now);
+    subject.note_done(CapacityType::OnDemand, now);
     let zone = subject.view(LISTED, 1.0, now, BOOT);
     assert!(!zone.no_on_demand && !zone.no_spot);
 }
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -21,7 +21,7 @@
 
 /// Whether the platform may reclaim an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Supply {
+pub enum CapacityType {
     /// Runs until a lower number is ordered.
     OnDemand,
     /// May be reclaimed at short notice.
@@ -29,7 +29,7 @@
 }
 
 /// Both kinds, on-demand first because it costs more.
-pub const SUPPLIES: [Supply; 2] = [Supply::OnDemand, Supply::Spot];
+pub const CAPACITY_TYPES: [CapacityType; 2] = [CapacityType::OnDemand, CapacityType::Spot];
 
 /// Number of upstreams of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -43,18 +43,18 @@
 impl Counts {
     /// Number of one kind.
     #[must_use]
-    pub const fn of(self, supply: Supply) -> u32 {
-        match supply {
-            Supply::OnDemand => self.on_demand,
-            Supply::Spot => self.spot,
+    pub const fn of(self, capacity_type: CapacityType) -> u32 {
+        match capacity_type {
+            CapacityType::OnDemand => self.on_demand,
+            CapacityType::Spot => self.spot,
         }
     }
 
     /// Mutable reference to the number of one kind.
-    pub const fn of_mut(&mut self, supply: Supply) -> &mut u32 {
-        match supply {
-            Supply::OnDemand => &mut self.on_demand,
-            Supply::Spot => &mut self.spot,
+    pub const fn of_mut(&mut self, capacity_type: CapacityType) -> &mut u32 {
+        match capacity_type {
+            CapacityType::OnDemand => &mut self.on_demand,
+            CapacityType::Spot => &mut self.spot,
         }
     }
 
@@ -119,10 +119,10 @@
         self.running = self.running.saturating_add(count);
     }
 
-    pub(crate) const fn is_unavailable(&self, supply: Supply) -> bool {
-        match supply {
-            Supply::OnDemand => self.no_on_demand,
-            Supply::Spot => self.no_spot,
+    pub(crate) const fn is_unavailable(&self, capacity_type: CapacityType) -> bool {
+        match capacity_type {
+            CapacityType::OnDemand => self.no_on_demand,
+            CapacityType::Spot => self.no_spot,
         }
     }
 
@@ -151,7 +151,7 @@
     /// Index of the zone.
     pub zone: usize,
     /// Kind of upstream.
-    pub supply: Supply,
+    pub capacity_type: CapacityType,
     /// Number that the zone is to have.
     pub count: u32,
     /// Number that the zone has, including those still booting.
@@ -265,18 +265,18 @@
     let mut orders = Vec::new();
     for (at, (zone, target)) in zones.iter().zip(targets).enumerate() {
         let mut present = zone.present;
-        for supply in SUPPLIES {
-            let before = present.of(supply);
+        for capacity_type in CAPACITY_TYPES {
+            let before = present.of(capacity_type);
             let others = present.total() - before;
             let max_of_kind = bounds.most.saturating_sub(others);
             let count = target
-                .of(supply)
+                .of(capacity_type)
                 .min(max_of_kind)
                 .min(before.saturating_add(max_added));
-            if count <= before || zone.is_unavailable(supply) {
+            if count <= before || zone.is_unavailable(capacity_type) {
                 continue;
             }
-            *present.of_mut(supply) = count;
+            *present.of_mut(capacity_type) = count;
             let reason = if zone.present.total() < bounds.least {
                 Reason::BelowLeast
             } else {
@@ -284,7 +284,7 @@
             };
             orders.push(Order {
                 zone: at,
-                supply,
+                capacity_type,
                 count,
                 before,
                 reason,
@@ -304,8 +304,10 @@
     let mut remaining: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     let mut orders = Vec::new();
     for (at, (zone, target)) in zones.iter().zip(targets).enumerate() {
-        let exceeds = |supply: &Supply| zone.present.of(*supply) > target.of(*supply);
-        let Some(supply) = SUPPLIES.into_iter().find(exceeds) else {
+        let exceeds = |capacity_type: &CapacityType| {
+            zone.present.of(*capacity_type) > target.of(*capacity_type)
+        };
+        let Some(capacity_type) = CAPACITY_TYPES.into_iter().find(exceeds) else {
             continue;
         };
         let in_use = zone.running.div_ceil(bounds.slots.max(1));
@@ -313,15 +315,15 @@
             continue;
         }
         let mut reduced = remaining.clone();
-        *reduced[at].of_mut(supply) -= 1;
+        *reduced[at].of_mut(capacity_type) -= 1;
         if !is_enough(&reduced, bounds, needed) {
             continue;
         }
         remaining = reduced;
-        let before = zone.present.of(supply);
+        let before = zone.present.of(capacity_type);
         orders.push(Order {
             zone: at,
-            supply,
+            capacity_type,
             count: before - 1,
             before,
             reason: Reason::TooMany,
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -5,17 +5,17 @@
 //! since.
 
 use crate::scaling::Bounds;
+use crate::scaling::CAPACITY_TYPES;
+use crate::scaling::CapacityType;
 use crate::scaling::Counts;
 use crate::scaling::Order;
 use crate::scaling::Reason;
-use crate::scaling::SUPPLIES;
-use crate::scaling::Supply;
 
 /// The last order for one kind, as recorded by an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastOrder {
     /// Kind of upstream.
-    pub supply: Supply,
+    pub capacity_type: CapacityType,
     /// Number that was ordered.
     pub count: u32,
     /// Whether the platform has confirmed the order.
@@ -26,12 +26,12 @@
 #[must_use]
 pub fn repeats(zone: usize, last: &[LastOrder], listed: Counts, bounds: &Bounds) -> Vec<Order> {
     let unconfirmed = || last.iter().filter(|order| !order.is_confirmed);
-    let is_reduction = |order: &&LastOrder| order.count < listed.of(order.supply);
+    let is_reduction = |order: &&LastOrder| order.count < listed.of(order.capacity_type);
     let reductions = unconfirmed().filter(is_reduction);
     let mut orders = Vec::new();
     let mut resulting = listed;
     for order in reductions {
-        let others = resulting.total() - resulting.of(order.supply);
+        let others = resulting.total() - resulting.of(order.capacity_type);
         let count = order.count.max(bounds.least.saturating_sub(others));
         push_order(&mut orders, &mut resulting, zone, *order, count);
     }
@@ -39,13 +39,13 @@
         return orders;
     }
     let mut possible = expected(last, listed);
-    for order in unconfirmed().filter(|order| order.count > listed.of(order.supply)) {
-        let others = possible.total() - possible.of(order.supply);
+    for order in unconfirmed().filter(|order| order.count > listed.of(order.capacity_type)) {
+        let others = possible.total() - possible.of(order.capacity_type);
         let count = order.count.min(bounds.most.saturating_sub(others));
-        if count > listed.of(order.supply) {
+        if count > listed.of(order.capacity_type) {
             push_order(&mut orders, &mut resulting, zone, *order, count);
         }
-        *possible.of_mut(order.supply) = count.max(listed.of(order.supply));
+        *possible.of_mut(order.capacity_type) = count.max(listed.of(order.capacity_type));
     }
     orders
 }
@@ -55,10 +55,12 @@
 #[must_use]
 pub fn expected(last: &[LastOrder], listed: Counts) -> Counts {
     let mut counts = listed;
-    for supply in SUPPLIES {
-        let of_kind = last.iter().filter(|order| order.supply == supply);
+    for capacity_type in CAPACITY_TYPES {
+        let of_kind = last
+            .iter()
+            .filter(|order| order.capacity_type == capacity_type);
         let ordered = of_kind.map(|order| order.count).max().unwrap_or_default();
-        *counts.of_mut(supply) = listed.of(supply).max(ordered);
+        *counts.of_mut(capacity_type) = listed.of(capacity_type).max(ordered);
     }
     counts
 }
@@ -70,14 +72,14 @@
     last: LastOrder,
     count: u32,
 ) {
-    let before = resulting.of(last.supply);
+    let before = resulting.of(last.capacity_type);
     if count == before {
         return;
     }
-    *resulting.of_mut(last.supply) = count;
+    *resulting.of_mut(last.capacity_type) = count;
     orders.push(Order {
         zone,
-        supply: last.supply,
+        capacity_type: last.capacity_type,
         count,
         before,
         reason: Reason::Repeated,
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -5,9 +5,9 @@
 //! comes first, and no zone gets more than half.
 
 use crate::scaling::Bounds;
+use crate::scaling::CapacityType;
 use crate::scaling::Counts;
 use crate::scaling::Demand;
-use crate::scaling::Supply;
 use crate::scaling::Zone;
 use crate::scaling::cost;
 use crate::scaling::covered;
@@ -88,12 +88,12 @@
                 .sum();
             on_demand < on_demand_base && total(assigned) < needed
         };
-        while is_short(&self.assigned) && self.add(Supply::OnDemand) {}
+        while is_short(&self.assigned) && self.add(CapacityType::OnDemand) {}
         if self.spot_zones.is_some() {
             self.cover_with_spot(needed);
         }
-        while covered(&self.assigned) < needed && self.add(Supply::OnDemand) {}
-        while self.spot_zones.is_some() && self.total() < needed && self.add(Supply::Spot) {}
+        while covered(&self.assigned) < needed && self.add(CapacityType::OnDemand) {}
+        while self.spot_zones.is_some() && self.total() < needed && self.add(CapacityType::Spot) {}
         self.fill_to_minimum();
     }
 
@@ -102,26 +102,26 @@
     }
 
     /// Assigns one more upstream of a kind; false if no zone can take it.
-    fn add(&mut self, supply: Supply) -> bool {
-        let candidates = (0..self.zones.len()).filter(|at| self.can_take(*at, supply));
-        let Some(at) = candidates.min_by(|a, b| self.compare_zones(*a, *b, supply)) else {
+    fn add(&mut self, capacity_type: CapacityType) -> bool {
+        let candidates = (0..self.zones.len()).filter(|at| self.can_take(*at, capacity_type));
+        let Some(at) = candidates.min_by(|a, b| self.compare_zones(*a, *b, capacity_type)) else {
             return false;
         };
-        *self.assigned[at].of_mut(supply) += 1;
+        *self.assigned[at].of_mut(capacity_type) += 1;
         true
     }
 
-    fn can_take(&self, at: usize, supply: Supply) -> bool {
+    fn can_take(&self, at: usize, capacity_type: CapacityType) -> bool {
         let (zone, assigned) = (&self.zones[at], self.assigned[at]);
-        let is_present = assigned.of(supply) < zone.present.of(supply);
-        let is_available = is_present || !zone.is_unavailable(supply);
+        let is_present = assigned.of(capacity_type) < zone.present.of(capacity_type);
+        let is_available = is_present || !zone.is_unavailable(capacity_type);
         let has_room = assigned.total() < self.bounds.most;
-        is_available && has_room && self.keeps_limits(at, supply)
+        is_available && has_room && self.keeps_limits(at, capacity_type)
     }
 
     /// Whether, with one more upstream, the zone has at most half of all upstreams and at most its
     /// part of all spot upstreams. The reserve has to cover the loss of that part.
-    fn keeps_limits(&self, at: usize, supply: Supply) -> bool {
+    fn keeps_limits(&self, at: usize, capacity_type: CapacityType) -> bool {
         let here = self.assigned[at];
         if self.zones.len() == 1 || here.total() < self.bounds.least {
             return true;
@@ -132,15 +132,15 @@
             .map(|zone_counts| zone_counts.spot)
             .sum();
         let max_spot = (spot_total + 1).div_ceil(self.spot_zones.unwrap_or(1));
-        let keeps_spot_limit = supply == Supply::OnDemand || here.spot < max_spot;
+        let keeps_spot_limit = capacity_type == CapacityType::OnDemand || here.spot < max_spot;
         keeps_spot_limit && here.total() < (self.total() + 1).div_ceil(2)
     }
 
-    fn compare_zones(&self, a: usize, b: usize, supply: Supply) -> std::cmp::Ordering {
+    fn compare_zones(&self, a: usize, b: usize, capacity_type: CapacityType) -> std::cmp::Ordering {
         let has_minimum = |at: usize| self.assigned[at].total() >= self.bounds.least;
         let by_price = || {
-            self.effective_price(a, supply)
-                .total_cmp(&self.effective_price(b, supply))
+            self.effective_price(a, capacity_type)
+                .total_cmp(&self.effective_price(b, capacity_type))
         };
         let by_total = || self.assigned[a].total().cmp(&self.assigned[b].total());
         has_minimum(a)
@@ -149,9 +149,9 @@
             .then_with(by_total)
     }
 
-    fn effective_price(&self, at: usize, supply: Supply) -> f64 {
+    fn effective_price(&self, at: usize, capacity_type: CapacityType) -> f64 {
         let zone = &self.zones[at];
-        let is_present = self.assigned[at].of(supply) < zone.present.of(supply);
+        let is_present = self.assigned[at].of(capacity_type) < zone.present.of(capacity_type);
         let factor = if is_present {
             PRESENT_PRICE_FACTOR
         } else {
@@ -168,7 +168,7 @@
         let mut additions_without_gain = 0;
         while best_covered < needed
             && additions_without_gain <= self.zones.len()
-            && self.add(Supply::Spot)
+            && self.add(CapacityType::Spot)
         {
             let covered_now = covered(&self.assigned);
             additions_without_gain += 1;
@@ -184,12 +184,12 @@
     fn fill_to_minimum(&mut self) {
         for at in 0..self.zones.len() {
             while self.assigned[at].total() < self.bounds.least {
-                let supply = if self.zones[at].no_spot {
-                    Supply::OnDemand
+                let capacity_type = if self.zones[at].no_spot {
+                    CapacityType::OnDemand
                 } else {
-                    Supply::Spot
+                    CapacityType::Spot
                 };
-                *self.assigned[at].of_mut(supply) += 1;
+                *self.assigned[at].of_mut(capacity_type) += 1;
             }
         }
     }
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -4,12 +4,12 @@
 use std::time::Instant;
 
 use firweir_policy::scaling::Bounds;
+use firweir_policy::scaling::CAPACITY_TYPES;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Demand;
 use firweir_policy::scaling::Order;
 use firweir_policy::scaling::Ordered;
-use firweir_policy::scaling::SUPPLIES;
-use firweir_policy::scaling::Supply;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling::orders;
 
@@ -26,7 +26,7 @@
 /// An upstream of the simulated platform.
 struct SimulatedUpstream {
     zone: usize,
-    supply: Supply,
+    capacity_type: CapacityType,
     serves_from: Instant,
 }
 
@@ -35,7 +35,7 @@
     upstreams: Vec<SimulatedUpstream>,
     prices: [f64; 3],
     /// Zones and kinds for which the platform refuses to add upstreams (409).
-    exhausted: Vec<(usize, Supply)>,
+    exhausted: Vec<(usize, CapacityType)>,
     ordered: [[Option<Ordered>; 2]; 3],
     refused: [[Option<Instant>; 2]; 3],
     demand: Option<Demand>,
@@ -43,8 +43,8 @@
     started: Instant,
 }
 
-const fn index_of(supply: Supply) -> usize {
-    supply as usize
+const fn index_of(capacity_type: CapacityType) -> usize {
+    capacity_type as usize
 }
 
 const fn demand(largest_step: u32, samples: u32) -> Demand {
@@ -61,7 +61,7 @@
         let now = Instant::now();
         let new_upstream = |number: usize| SimulatedUpstream {
             zone: number % 3,
-            supply: Supply::OnDemand,
+            capacity_type: CapacityType::OnDemand,
             serves_from: now,
         };
         Self {
@@ -77,9 +77,11 @@
         }
     }
 
-    fn count(&self, zone: usize, supply: Supply) -> u32 {
+    fn count(&self, zone: usize, capacity_type: CapacityType) -> u32 {
         let found = self.upstreams.iter().filter(|upstream| {
-            upstream.zone == zone && upstream.supply == supply && upstream.serves_from <= self.now
+            upstream.zone == zone
+                && upstream.capacity_type == capacity_type
+                && upstream.serves_from <= self.now
         });
         found.count() as u32
     }
@@ -97,22 +99,22 @@
     }
 
     fn serving(&self) -> u32 {
-        let serving = |zone| SUPPLIES.map(|supply| self.count(zone, supply));
+        let serving = |zone| CAPACITY_TYPES.map(|capacity_type| self.count(zone, capacity_type));
         (0..3).flat_map(serving).sum()
     }
 
     fn zone(&self, zone: usize) -> Zone {
         let mut listed = Counts::default();
         let mut present = Counts::default();
-        for supply in SUPPLIES {
-            let found = self.count(zone, supply);
-            let ordered = self.ordered[zone][index_of(supply)];
-            *listed.of_mut(supply) = found;
-            *present.of_mut(supply) =
+        for capacity_type in CAPACITY_TYPES {
+            let found = self.count(zone, capacity_type);
+            let ordered = self.ordered[zone][index_of(capacity_type)];
+            *listed.of_mut(capacity_type) = found;
+            *present.of_mut(capacity_type) =
                 ordered.map_or(found, |order| order.present(found, self.now, BOOT_TIME));
         }
-        let is_refused = |supply| {
-            let refused = self.refused[zone][index_of(supply)];
+        let is_refused = |capacity_type| {
+            let refused = self.refused[zone][index_of(capacity_type)];
             refused.is_some_and(|refused_at| self.now - refused_at < RETRY_REFUSED_AFTER)
         };
         let mut ordered = self.ordered[zone].iter().flatten();
@@ -120,8 +122,8 @@
             price: self.prices[zone],
             listed,
             present,
-            no_on_demand: is_refused(Supply::OnDemand),
-            no_spot: is_refused(Supply::Spot),
+            no_on_demand: is_refused(CapacityType::OnDemand),
+            no_spot: is_refused(CapacityType::Spot),
             is_settling: ordered.any(|order| order.is_settling(self.now, BOOT_TIME)),
             running: 0,
         }
@@ -129,23 +131,24 @@
 
     /// Simulates the platform's response to an order.
     fn apply_order(&mut self, order: &Order) {
-        let (zone, supply) = (order.zone, order.supply);
+        let (zone, capacity_type) = (order.zone, order.capacity_type);
         let grows = order.count > order.before;
-        if grows && self.exhausted.contains(&(zone, supply)) {
-            self.refused[zone][index_of(supply)] = Some(self.now);
+        if grows && self.exhausted.contains(&(zone, capacity_type)) {
+            self.refused[zone][index_of(capacity_type)] = Some(self.now);
             return;
         }
-        self.ordered[zone][index_of(supply)] = Some(Ordered {
+        self.ordered[zone][index_of(capacity_type)] = Some(Ordered {
             count: order.count,
-            listed: self.count(zone, supply),
+            listed: self.count(zone, capacity_type),
             at: self.now,
         });
-        self.set(zone, supply, order.count);
+        self.set(zone, capacity_type, order.count);
     }
 
-    fn set(&mut self, zone: usize, supply: Supply, count: u32) {
-        let is_of =
-            |upstream: &SimulatedUpstream| upstream.zone == zone && upstream.supply == supply;
+    fn set(&mut self, zone: usize, capacity_type: CapacityType, count: u32) {
+        let is_of = |upstream: &SimulatedUpstream| {
+            upstream.zone == zone && upstream.capacity_type == capacity_type
+        };
         let present = self
             .upstreams
             .iter()
@@ -154,7 +157,7 @@
         for _ in present..count {
             self.upstreams.push(SimulatedUpstream {
                 zone,
-                supply,
+                capacity_type,
                 serves_from: self.now + BOOT_TIME,
             });
         }
@@ -192,14 +195,17 @@
 
     /// Upstreams that remain if the zone with the most spot upstreams loses all of them.
     fn covered(&self) -> u32 {
-        let most = (0..3).map(|zone| self.count(zone, Supply::Spot)).max();
+        let most = (0..3)
+            .map(|zone| self.count(zone, CapacityType::Spot))
+            .max();
         self.serving() - most.unwrap_or_default()
     }
 
     fn reclaim(&mut self, zone: usize) -> u32 {
         let before = self.total();
-        self.upstreams
-            .retain(|upstream| upstream.zone != zone || upstream.supply != Supply::Spot);
+        self.upstreams.retain(|upstream| {
+            upstream.zone != zone || upstream.capacity_type != CapacityType::Spot
+        });
         before - self.total()
     }
 }
@@ -207,8 +213,8 @@
 /// Whether no zone has more than half of all serving upstreams.
 fn no_zone_exceeds_half(simulation: &Simulation) -> bool {
     let in_zone = |zone| {
-        SUPPLIES
-            .map(|supply| simulation.count(zone, supply))
+        CAPACITY_TYPES
+            .map(|capacity_type| simulation.count(zone, capacity_type))
             .iter()
             .sum()
     };
@@ -244,7 +250,7 @@
 #[test]
 fn zones_are_filled_to_their_minimum_without_a_known_demand() {
     let mut simulation = Simulation::new(0, [1.0, 1.1, 1.3]);
-    simulation.exhausted = vec![(1, Supply::Spot)];
+    simulation.exhausted = vec![(1, CapacityType::Spot)];
     simulation.run(BOOT_TIME * 2);
     let counts = [0, 1, 2].map(|zone| simulation.in_zone(zone));
     assert_eq!(counts, [BOUNDS.least; 3], "{:?}", simulation.sent_orders);
@@ -322,12 +328,12 @@
 #[test]
 fn upstreams_refused_in_one_zone_come_from_another() {
     let mut simulation = Simulation::new(8, [1.0, 1.1, 1.3]);
-    simulation.exhausted = vec![(0, Supply::Spot)];
+    simulation.exhausted = vec![(0, CapacityType::Spot)];
     simulation.demand = Some(demand(200, 380));
     simulation.run(BOOT_TIME + TICK * 3);
     assert!(simulation.covered() >= 48, "{:?}", simulation.sent_orders);
     let asked = simulation.sent_orders.iter().filter(|(_, order)| {
-        order.zone == 0 && order.supply == Supply::Spot && order.count > order.before
+        order.zone == 0 && order.capacity_type == CapacityType::Spot && order.count > order.before
     });
     assert!(asked.count() <= 2, "{:?}", simulation.sent_orders);
 }
@@ -354,7 +360,7 @@
         simulation.tick();
         assert!(simulation.serving() >= 48, "{}", simulation.serving());
     }
-    let cheapest = SUPPLIES.map(|supply| simulation.count(2, supply));
+    let cheapest = CAPACITY_TYPES.map(|capacity_type| simulation.count(2, capacity_type));
     assert!(cheapest.iter().sum::<u32>() > BOUNDS.least, "{cheapest:?}");
 }
 
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -1,9 +1,9 @@
 //! Orders that a new holder of the scaling duty sends again.
 
 use firweir_policy::scaling::Bounds;
+use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
-use firweir_policy::scaling::Supply;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling_repeats::LastOrder;
 use firweir_policy::scaling_repeats::repeats;
@@ -20,19 +20,19 @@
     spot: 2,
 };
 
-const fn last_order(supply: Supply, count: u32, is_confirmed: bool) -> LastOrder {
+const fn last_order(capacity_type: CapacityType, count: u32, is_confirmed: bool) -> LastOrder {
     LastOrder {
-        supply,
+        capacity_type,
         count,
         is_confirmed,
     }
 }
 
-fn repeated(last_orders: &[LastOrder], listed: Counts) -> Vec<(Supply, u32)> {
+fn repeated(last_orders: &[LastOrder], listed: Counts) -> Vec<(CapacityType, u32)> {
     let found = repeats(0, last_orders, listed, &BOUNDS);
     let numbers = found
         .iter()
-        .map(|order: &Order| (order.supply, order.count));
+        .map(|order: &Order| (order.capacity_type, order.count));
     numbers.collect()
 }
 
@@ -41,12 +41,15 @@
 #[test]
 fn confirmed_orders_are_not_repeated() {
     let last_orders = [
-        last_order(Supply::OnDemand, 8, true),
-        last_order(Supply::Spot, 0, true),
+        last_order(CapacityType::OnDemand, 8, true),
+        last_order(CapacityType::Spot, 0, true),
     ];
     assert_eq!(repeated(&last_orders, LISTED), Vec::new());
-    let unconfirmed = [last_order(Supply::OnDemand, 6, false)];
-    assert_eq!(repeated(&unconfirmed, LISTED), vec![(Supply::OnDemand, 6)]);
+    let unconfirmed = [last_order(CapacityType::OnDemand, 6, false)];
+    assert_eq!(
+        repeated(&unconfirmed, LISTED),
+        vec![(CapacityType::OnDemand, 6)]
+    );
 }
 
 /// Guards against repeated orders that together exceed the limits of their zone.
@@ -56,12 +59,12 @@
         for spot in 0..20 {
             for is_confirmed in [false, true] {
                 let last_orders = [
-                    last_order(Supply::OnDemand, on_demand, is_confirmed),
-                    last_order(Supply::Spot, spot, false),
+                    last_order(CapacityType::OnDemand, on_demand, is_confirmed),
+                    last_order(CapacityType::Spot, spot, false),
                 ];
                 let mut after = LISTED;
-                for (supply, count) in repeated(&last_orders, LISTED) {
-                    *after.of_mut(supply) = count;
+                for (capacity_type, count) in repeated(&last_orders, LISTED) {
+                    *after.of_mut(capacity_type) = count;
                     assert!(after.total() >= BOUNDS.least, "{last_orders:?}: {after:?}");
                     assert!(after.total() <= BOUNDS.most, "{last_orders:?}: {after:?}");
                 }
