--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -64,8 +64,8 @@
 use crate::submission::manager::RequestOrigin;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::runners::PING_PATH;
-use crate::submission::runners::name_account;
-use crate::submission::runners::named_account;
+use crate::submission::runners::account_from_header;
+use crate::submission::runners::set_account_header;
 use crate::usage::counting::Counting;
 use crate::usage::counting::USAGE_PATH;
 
@@ -143,7 +143,7 @@
             Ok(account) => account,
             Err(denied) => return denial(denied),
         };
-        name_account(&mut head.headers, account);
+        set_account_header(&mut head.headers, account);
         self.submissions
             .answer_question(RequestOrigin::Client, account, asked, &head)
             .await
@@ -156,7 +156,7 @@
         asked: &AskedCall,
         mut head: http::request::Parts,
     ) -> Response<Body> {
-        name_account(&mut head.headers, None);
+        set_account_header(&mut head.headers, None);
         let answer = self
             .submissions
             .answer_question(RequestOrigin::Client, None, asked, &head)
@@ -228,7 +228,7 @@
         if head.uri.path() == HOME_PATH {
             return self.name_home(body).await;
         }
-        let account = named_account(&head.headers);
+        let account = account_from_header(&head.headers);
         match self.dialect.client_call(&head) {
             ClientCall::Asked(asked) => {
                 let account = account.as_deref();
@@ -366,7 +366,7 @@
             let live = &self.live;
             return live.answer(routed, account, route, &head, body).await;
         }
-        name_account(&mut head.headers, account);
+        set_account_header(&mut head.headers, account);
         let submitted = Submitted {
             origin: RequestOrigin::Client,
             routed,
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -30,7 +30,7 @@
 use crate::submission::records::estimated_item_bytes;
 use crate::submission::records::record_name;
 use crate::submission::records::split_into_records;
-use crate::submission::runners::strip_framing;
+use crate::submission::runners::remove_framing_headers;
 
 /// How long the writes of a submission are retried. Clients wait for seconds, and a submission
 /// that is refused in time can be accepted by another node.
@@ -137,11 +137,11 @@
         *request.method_mut() = posted.head.method.clone();
         *request.uri_mut() = posted.head.uri.clone();
         *request.headers_mut() = posted.head.headers.clone();
-        strip_framing(request.headers_mut());
+        remove_framing_headers(request.headers_mut());
         let call = self.shared.links.call(home.address, request, HOME_TIMEOUT);
         let runners = &self.shared.runners;
         let answer = if self.shared.off.leaves(Mechanism::HomePing) {
-            runners.while_alive(home.address, call).await
+            runners.call_while_alive(home.address, call).await
         } else {
             Some(call.await)
         };
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -92,8 +92,8 @@
             }
             let runner = known.head.runner.address;
             let runners = &self.shared.runners;
-            let forwarding = runners.pass_on(runner, question, head);
-            let Some(answer) = runners.while_alive(runner, forwarding).await else {
+            let forwarding = runners.forward(runner, question, head);
+            let Some(answer) = runners.call_while_alive(runner, forwarding).await else {
                 let finding = tokio::spawn(self.clone().find_current_head(known.clone()));
                 // The end needs no runner.
                 if *question == Question::End {
@@ -157,7 +157,7 @@
     /// would start it again.
     async fn replace_runner(self, known: VersionedHead, error: LinkError) -> Option<VersionedHead> {
         let runner = known.head.runner.address;
-        if !self.shared.runners.is_gone(runner, error).await {
+        if !self.shared.runners.is_down(runner, error).await {
             return None;
         }
         let home_finder = &self.shared.home_finder;
@@ -219,7 +219,7 @@
         let homes = self.shared.homes.nodes().into_iter();
         let others = homes.filter(|home| *home != self.shared.this_node);
         let mut asked: FuturesUnordered<_> = others
-            .map(|home| self.shared.runners.pass_on(home.address, question, call))
+            .map(|home| self.shared.runners.forward(home.address, question, call))
             .collect();
         while let Some(answer) = asked.next().await {
             if let Ok(answer) = answer
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -375,7 +375,7 @@
             let hold = if page.is_empty() {
                 wait.saturating_sub(waited)
             } else {
-                self.hold(waited, wait, now.duration_since(self.accepted), due)
+                self.remaining_hold(waited, wait, now.duration_since(self.accepted), due)
             };
             if is_over || hold.is_zero() {
                 return page;
@@ -385,20 +385,26 @@
         }
     }
 
-    fn hold(&self, waited: Duration, may_wait: Duration, age: Duration, due: Duration) -> Duration {
+    fn remaining_hold(
+        &self,
+        waited: Duration,
+        max_wait: Duration,
+        age: Duration,
+        due: Duration,
+    ) -> Duration {
         let state = self.lock();
         if state.ended {
             return Duration::ZERO;
         }
-        let asked = LongPoll {
+        let poll = LongPoll {
             waited,
-            max_wait: may_wait,
+            max_wait,
             complete_groups: state.listed_group_count(&self.items),
             target_groups: self.head.target_groups as usize,
             step_age: age,
             step_due: due,
         };
-        asked.remaining_hold()
+        poll.remaining_hold()
     }
 
     /// Returns an item by its id.
--- a/crates/node/src/submission/runners.rs
+++ b/crates/node/src/submission/runners.rs
@@ -38,7 +38,7 @@
 /// called resolves the API key and doesn't forward it.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-firweir-account");
 
-/// Timeout of a ping, and the least one of those in [`Runners::is_gone`].
+/// Timeout of a ping, and the least one of those in [`Runners::is_down`].
 const PING_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A node is pinged if it has not answered a call within this time. The call itself may take
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// The runner did not answer.
-    pub async fn pass_on(
+    pub async fn forward(
         &self,
         runner: SocketAddr,
         question: &Question,
@@ -89,12 +89,12 @@
         *request.method_mut() = call.method.clone();
         *request.uri_mut() = call.uri.clone();
         *request.headers_mut() = call.headers.clone();
-        strip_framing(request.headers_mut());
-        self.note_called(runner);
+        remove_framing_headers(request.headers_mut());
+        self.record_call(runner);
         let forwarding = self.links.call(runner, request, wait + PEER_TIMEOUT);
         let answer = forwarding.await;
         if answer.is_ok() {
-            self.note_answered(runner);
+            self.record_answer(runner);
         }
         answer
     }
@@ -103,7 +103,7 @@
     ///
     /// Without the ping, each node that a trainer submits its step to would wait for a home that
     /// is down as long as for one with a slow store, and the client would disconnect first.
-    pub async fn while_alive<T>(
+    pub async fn call_while_alive<T>(
         &self,
         node: SocketAddr,
         call: impl Future<Output = T>,
@@ -126,7 +126,7 @@
     /// Whether a runner that did not answer is down. Pings it until [`DOWN_AFTER`] has passed
     /// since the first unanswered call: if this were left to retries of the client, it would
     /// wait twice as long.
-    pub async fn is_gone(&self, runner: SocketAddr, mut error: LinkError) -> bool {
+    pub async fn is_down(&self, runner: SocketAddr, mut error: LinkError) -> bool {
         loop {
             let silent_for = self.silent_for(runner);
             // Nothing listens on the port: the process is gone, with its memory.
@@ -136,7 +136,7 @@
             let timeout = DOWN_AFTER.saturating_sub(silent_for).max(PING_TIMEOUT);
             match self.ping(runner, timeout).await {
                 Ok(()) => {
-                    self.note_answered(runner);
+                    self.record_answer(runner);
                     return false;
                 }
                 Err(failed) => error = failed,
@@ -145,7 +145,7 @@
     }
 
     /// Notes that a runner was called and has not answered yet.
-    fn note_called(&self, runner: SocketAddr) {
+    fn record_call(&self, runner: SocketAddr) {
         let since = self.clock.now();
         let mut unanswered = self.lock();
         // Older entries are from calls that were cancelled as their clients disconnected.
@@ -156,7 +156,7 @@
         }
     }
 
-    fn note_answered(&self, runner: SocketAddr) {
+    fn record_answer(&self, runner: SocketAddr) {
         self.lock().retain(|entry| entry.address != runner);
     }
 
@@ -176,7 +176,7 @@
 }
 
 /// Replaces the API key of a client's call by the name of its account, for other nodes.
-pub fn name_account(headers: &mut HeaderMap, account: Option<&str>) {
+pub fn set_account_header(headers: &mut HeaderMap, account: Option<&str>) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(ACCOUNT);
     let value = account.map(|account| HeaderValue::from_bytes(account.as_bytes()));
@@ -187,7 +187,7 @@
 
 /// Returns the account that another node has set in the headers.
 #[must_use]
-pub fn named_account(headers: &HeaderMap) -> Option<String> {
+pub fn account_from_header(headers: &HeaderMap) -> Option<String> {
     let name = headers.get(ACCOUNT)?.as_bytes();
     Some(String::from_utf8_lossy(name).into_owned())
 }
@@ -202,7 +202,7 @@
 }
 
 /// Removes the headers that depend on the connection, which the next one sets itself.
-pub fn strip_framing(headers: &mut HeaderMap) {
+pub fn remove_framing_headers(headers: &mut HeaderMap) {
     let framing = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
