--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -94,7 +94,7 @@
         let young = self
             .submission
             .head_view
-            .await_young(clock, &limits, is_over);
+            .wait_until_fresh(clock, &limits, is_over);
         young.await;
         if is_over() {
             return Attempt::Moved;
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -243,7 +243,7 @@
                     let clock = &*self.shared.clock;
                     let local = LocalSubmission::new(id.clone(), head, submission.items, clock);
                     // Its head names this node as the runner from this time on.
-                    local.head_view.confirm(sent);
+                    local.head_view.record_confirmed(sent);
                     self.start(local);
                 }
                 Acceptance::Accepted
--- a/crates/node/src/submission/head_view.rs
+++ b/crates/node/src/submission/head_view.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeadLimits {
     /// Interval between reads of the head.
-    pub look_every: Duration,
+    pub read_interval: Duration,
     /// A sample starts only if the last read was sent at most this long ago.
-    pub start_within: Duration,
+    pub max_age_at_start: Duration,
 }
 
 impl HeadLimits {
@@ -31,10 +31,10 @@
     /// `end_applies` after the end was confirmed.
     #[must_use]
     pub fn new(end_applies: Duration) -> Self {
-        let look_every = end_applies.mul_f64(READ_INTERVAL_FRACTION);
+        let read_interval = end_applies.mul_f64(READ_INTERVAL_FRACTION);
         Self {
-            look_every,
-            start_within: end_applies.saturating_sub(START_DELAY).max(look_every),
+            read_interval,
+            max_age_at_start: end_applies.saturating_sub(START_DELAY).max(read_interval),
         }
     }
 }
@@ -58,7 +58,7 @@
 
 impl HeadView {
     /// Records a read, sent at this time, that showed this node as the runner, and no end.
-    pub fn confirm(&self, sent: Duration) {
+    pub fn record_confirmed(&self, sent: Duration) {
         let mut reads = self.lock();
         reads.confirmed = reads.confirmed.max(Some(sent));
         drop(reads);
@@ -68,7 +68,7 @@
     /// Records a read, sent at this time, that the store did not answer. Samples may start after
     /// it: while the store is unavailable nobody can end a submission, and a node that alone is
     /// partitioned from the store must not stop everything that it runs.
-    pub fn note_in_vain(&self, sent: Duration) {
+    pub fn record_unreachable(&self, sent: Duration) {
         let mut reads = self.lock();
         reads.unanswered = reads.unanswered.max(Some(sent));
         drop(reads);
@@ -77,17 +77,17 @@
 
     /// When the last read was sent that showed this node as the runner, and no end.
     #[must_use]
-    pub fn confirmed(&self) -> Option<Duration> {
+    pub fn last_confirmed(&self) -> Option<Duration> {
         self.lock().confirmed
     }
 
     /// Wakes all waiters, which check again whether to go on.
-    pub fn wake(&self) {
+    pub fn wake_waiters(&self) {
         self.changed.notify_waiters();
     }
 
     /// Waits until a read is recent enough for a sample to start, or `is_over`.
-    pub async fn await_young(
+    pub async fn wait_until_fresh(
         &self,
         clock: &dyn BootClock,
         limits: &HeadLimits,
@@ -107,14 +107,14 @@
     }
 
     /// Waits until a sample needs a read of the head.
-    pub async fn look_wanted(&self) {
+    pub async fn read_requested(&self) {
         self.read_wanted.notified().await;
     }
 
     fn is_fresh(&self, now: Duration, limits: &HeadLimits) -> bool {
         let reads = *self.lock();
         let last = reads.confirmed.max(reads.unanswered);
-        last.is_some_and(|sent| now.saturating_sub(sent) <= limits.start_within)
+        last.is_some_and(|sent| now.saturating_sub(sent) <= limits.max_age_at_start)
     }
 
     fn lock(&self) -> MutexGuard<'_, Reads> {
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -301,7 +301,7 @@
     /// Ends it: no more results are wanted.
     pub fn end(&self) {
         self.lock().ended = true;
-        self.head_view.wake();
+        self.head_view.wake_waiters();
         self.results_pending.notify_one();
         self.results_listed.notify_waiters();
     }
@@ -309,7 +309,7 @@
     /// Stops running it here, as another node runs it now.
     pub fn release(&self) {
         self.released.store(true, Ordering::Release);
-        self.head_view.wake();
+        self.head_view.wake_waiters();
         self.results_pending.notify_one();
         self.results_listed.notify_waiters();
     }
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -251,9 +251,9 @@
     async fn watch_head(self, submission: Arc<LocalSubmission>) {
         while submission.is_running() && !submission.is_complete() {
             let limits = self.shared.settings.now().head_limits();
-            let read_requested = submission.head_view.look_wanted();
+            let read_requested = submission.head_view.read_requested();
             // The head is read after the interval, or earlier on request.
-            drop(tokio::time::timeout(limits.look_every, read_requested).await);
+            drop(tokio::time::timeout(limits.read_interval, read_requested).await);
             // While the store is unavailable no other node can take over either.
             drop(self.confirm_runner(&submission).await);
         }
@@ -268,14 +268,14 @@
         let sent = self.shared.boot_clock.since_boot();
         let newest = self.shared.heads.read_newest(&submission.id).await;
         if newest.is_err() {
-            submission.head_view.note_in_vain(sent);
+            submission.head_view.record_unreachable(sent);
         }
         let Some(known) = newest? else {
             return Ok(false);
         };
         let is_runner = known.head.runner == self.shared.this_node;
         if is_runner && !known.head.ended {
-            submission.head_view.confirm(sent);
+            submission.head_view.record_confirmed(sent);
         }
         self.apply_head(known);
         Ok(is_runner)
@@ -293,7 +293,7 @@
         after: usize,
     ) -> Response<Body> {
         let now = self.shared.boot_clock.since_boot();
-        let confirmed = submission.head_view.confirmed();
+        let confirmed = submission.head_view.last_confirmed();
         let is_fresh = confirmed.is_some_and(|sent| now.saturating_sub(sent) < CONFIRMATION_TTL);
         let is_certain = is_fresh || after >= submission.items.len();
         let is_runner = if is_certain {
@@ -468,7 +468,7 @@
                     // If another node runs it, no sample starts here, and the next read of the
                     // head releases it.
                     if known.head.runner == self.shared.this_node {
-                        submission.head_view.confirm(sent);
+                        submission.head_view.record_confirmed(sent);
                     }
                 }
                 _ => submission.end(),
--- a/crates/node/tests/head_view.rs
+++ b/crates/node/tests/head_view.rs
@@ -66,12 +66,12 @@
         let limits = HeadLimits::new(END_APPLIES);
         case.confirmed_ms
             .map(Duration::from_millis)
-            .inspect(|sent| view.confirm(*sent));
+            .inspect(|sent| view.record_confirmed(*sent));
         case.unanswered_ms
             .map(Duration::from_millis)
-            .inspect(|sent| view.note_in_vain(*sent));
+            .inspect(|sent| view.record_unreachable(*sent));
         clock.set(case.now_ms);
-        let starting = view.await_young(&clock, &limits, || false);
+        let starting = view.wait_until_fresh(&clock, &limits, || false);
         let starts = tokio::time::timeout(Duration::from_secs(1), starting).await;
         assert_eq!(starts.is_ok(), case.starts, "{}", case.name);
     }
@@ -93,16 +93,16 @@
             async move {
                 let limits = HeadLimits::new(END_APPLIES);
                 let is_over = || ended.load(Ordering::Relaxed) > 0;
-                view.await_young(&*clock, &limits, is_over).await;
+                view.wait_until_fresh(&*clock, &limits, is_over).await;
             }
         });
-        view.look_wanted().await;
+        view.read_requested().await;
         assert!(!waiting.is_finished());
         if ends {
             ended.store(1, Ordering::Relaxed);
-            view.wake();
+            view.wake_waiters();
         } else {
-            view.confirm(Duration::from_secs(60));
+            view.record_confirmed(Duration::from_secs(60));
         }
         waiting.await.expect("it goes on");
     }
