--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -26,8 +26,8 @@
 use crate::model::ModelVersion;
 use crate::model::Upstream;
 use crate::submission::local::LocalSubmission;
-use crate::submission::texts::KeptTexts;
-use crate::submission::texts::Progress;
+use crate::submission::texts::SampleProgress;
+use crate::submission::texts::TextCache;
 
 /// One sample that is being made, or waits for its score.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     /// Its slack in milliseconds at its first start; `None` before that, or if samples are not
     /// ordered by slack.
     pub(crate) first_slack_ms: Option<i64>,
-    pub(crate) progress: Progress,
+    pub(crate) progress: SampleProgress,
     pub(crate) running: bool,
     /// When it was first offered, and first started.
     pub(crate) offered: Instant,
@@ -97,7 +97,7 @@
     /// Samples that wait are not looked at for their age before.
     pub(crate) expired_after: Option<Instant>,
     pub(crate) config_version: u64,
-    pub(crate) kept: KeptTexts,
+    pub(crate) kept: TextCache,
     /// Whether waiting samples are ordered by the slack of their steps.
     pub(crate) by_slack: bool,
     /// Waiting samples are not reordered before this time; `None` if they may be at once.
@@ -132,7 +132,7 @@
 }
 
 /// The result of an item whose text is whole.
-pub(crate) fn completed(item: &Item, progress: &Progress) -> ItemResult {
+pub(crate) fn completed(item: &Item, progress: &SampleProgress) -> ItemResult {
     ItemResult {
         item: item.id.clone(),
         state: ItemState::Completed,
@@ -144,10 +144,10 @@
 
 /// The text is whole, and has the score that this item asks for: an item that comes again
 /// keeps its text, but may ask for another score.
-pub(crate) fn is_done(item: &Item, progress: &Progress) -> bool {
+pub(crate) fn is_done(item: &Item, progress: &SampleProgress) -> bool {
     let held = progress.score.as_ref().map(|score| &score.call);
     let scored = item.reward_call.is_none() || held == item.reward_call.as_ref();
-    progress.whole && scored
+    progress.complete && scored
 }
 
 /// Group index of each sample of a submission; groups are numbered in the trainer's order.
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -144,13 +144,15 @@
         if let Some(progress) = kept.as_ref().filter(|kept| is_done(item, kept)) {
             submission.add_result(self.shared.clock.now(), completed(item, progress));
             // It may come yet again.
-            state.kept.keep(&item.id, progress.clone());
+            state.kept.insert(&item.id, progress.clone());
             return;
         }
         // A whole text goes first, then what is saved: what is saved later has to follow
         // from it.
-        let whole = kept.as_ref().filter(|kept| kept.whole).cloned();
-        let progress = whole.or_else(|| submission.saved_text(&item.id)).or(kept);
+        let complete = kept.as_ref().filter(|kept| kept.complete).cloned();
+        let progress = complete
+            .or_else(|| submission.saved_text(&item.id))
+            .or(kept);
         let key = SampleKey(state.next_draft);
         state.next_draft += 1;
         state.jobs.push(Job {
@@ -180,7 +182,7 @@
         let Some(at) = state.job_at(key) else {
             return;
         };
-        if !state.jobs[at].progress.whole {
+        if !state.jobs[at].progress.complete {
             return self.offer(state, key);
         }
         let job = &mut state.jobs[at];
@@ -248,7 +250,7 @@
             }
             self.count_discarded(state, &job);
             let item = &job.submission.items[job.place];
-            state.kept.keep(&item.id, job.progress);
+            state.kept.insert(&item.id, job.progress);
         }
         self.count_models(&mut guard);
         drop(guard);
@@ -604,7 +606,7 @@
         match attempt {
             Attempt::Whole => {
                 let job = &mut state.jobs[at];
-                job.progress.whole = true;
+                job.progress.complete = true;
                 job.drafted = Some(self.shared.clock.now());
                 note_length(&mut state.lengths, job);
                 self.go_on(state, key);
@@ -664,7 +666,7 @@
         }
         self.shared.journal.event("item_completed", &fields);
         job.submission.add_result(now, result);
-        state.kept.keep(&item.id, job.progress);
+        state.kept.insert(&item.id, job.progress);
     }
 
     /// Takes in the next event of a run.
@@ -674,7 +676,7 @@
         state.placement.record_event(now, key);
         // No job: the submission has ended meanwhile.
         if let Some(at) = state.job_at(key) {
-            state.jobs[at].progress.add(event, version);
+            state.jobs[at].progress.add_event(event, version);
         }
     }
 
@@ -701,17 +703,17 @@
             let known = saved.binary_search_by(|held| held.item.cmp(item));
             let known = known.ok().map(|at| &saved[at]);
             let after = known.map_or(0, |saved| saved.events);
-            let whole = job.progress.whole;
+            let complete = job.progress.complete;
             let (events, versions) = (&job.progress.events, &job.progress.versions);
             let longer = events.len() >= WORTH_SAVING.max(after + 1);
-            let is_new = longer || (whole && known.is_none_or(|saved| !saved.whole));
+            let is_new = longer || (complete && known.is_none_or(|saved| !saved.complete));
             // A text that began anew does not follow from what was saved of it.
             (is_new && !job.progress.restarted).then(|| TextPiece {
                 item: item.clone(),
                 after,
                 events: events[after..].to_vec(),
                 versions: versions.clone(),
-                whole,
+                complete,
             })
         });
         pieces.collect()
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -57,7 +57,7 @@
         group: job.group,
         expected_tokens: job.submission.items[job.place].expected_tokens,
         events_done: job.progress.events.len() as u32,
-        is_text_complete: job.progress.whole,
+        is_text_complete: job.progress.complete,
     }
 }
 
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -41,9 +41,9 @@
 use crate::submission::records::estimated_result_bytes;
 use crate::submission::records::record_name;
 use crate::submission::records::split_into_records;
-use crate::submission::texts::Progress;
+use crate::submission::texts::SampleProgress;
 use crate::submission::texts::SavedText;
-use crate::submission::texts::put_together;
+use crate::submission::texts::join_pieces;
 
 /// How long a write is retried before the writer checks again whether this node still runs
 /// the submission.
@@ -102,7 +102,7 @@
     accepted: Instant,
     state: Mutex<State>,
     /// Texts of items that an earlier runner saved, sorted by item.
-    saved: Mutex<Vec<(String, Progress)>>,
+    saved: Mutex<Vec<(String, SampleProgress)>>,
     saved_record_count: AtomicUsize,
     /// When the head was last read, for the start of samples.
     pub head_view: HeadView,
@@ -184,7 +184,7 @@
                 read_records(store, Kind::UnfinishedTexts, id, 0).await?;
             submission.set_saved_record_count(records.len());
             let pieces = records.into_iter().flat_map(|record| record.pieces);
-            *submission.lock_saved() = put_together(pieces.collect());
+            *submission.lock_saved() = join_pieces(pieces.collect());
         }
         Ok(submission)
     }
@@ -237,7 +237,7 @@
 
     /// Returns the text of an item that an earlier runner saved.
     #[must_use]
-    pub fn saved_text(&self, item: &str) -> Option<Progress> {
+    pub fn saved_text(&self, item: &str) -> Option<SampleProgress> {
         let saved = self.lock_saved();
         let found = saved.binary_search_by(|(id, _)| id.as_str().cmp(item));
         found.ok().map(|index| saved[index].1.clone())
@@ -250,7 +250,7 @@
         let texts = saved.iter().map(|(item, text)| SavedText {
             item: item.clone(),
             events: text.events.len(),
-            whole: text.whole,
+            complete: text.complete,
         });
         texts.collect()
     }
@@ -266,7 +266,7 @@
         self.saved_record_count.store(records, Ordering::Relaxed);
     }
 
-    fn lock_saved(&self) -> MutexGuard<'_, Vec<(String, Progress)>> {
+    fn lock_saved(&self) -> MutexGuard<'_, Vec<(String, SampleProgress)>> {
         self.saved.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/node/src/submission/records.rs
+++ b/crates/node/src/submission/records.rs
@@ -90,8 +90,8 @@
     /// Versions of the weights that generated the events up to here, ascending.
     pub versions: Vec<u64>,
     /// Whether these events complete the text, which then waits for its score.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(default, rename = "whole")]
+    pub complete: bool,
 }
 
 /// Texts of unfinished samples, from which another runner can continue.
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -110,7 +110,7 @@
         let text = SavedText {
             item: piece.item.clone(),
             events: piece.after + piece.events.len(),
-            whole: piece.whole,
+            complete: piece.complete,
         };
         match saved.binary_search_by(|other| other.item.cmp(&piece.item)) {
             Ok(at) => saved[at] = text,
--- a/crates/node/tests/texts.rs
+++ b/crates/node/tests/texts.rs
@@ -1,7 +1,7 @@
 //! Texts of unfinished samples, joined from the pieces that their runners saved.
 
 use firweir_node::submission::records::TextPiece;
-use firweir_node::submission::texts::put_together;
+use firweir_node::submission::texts::join_pieces;
 
 fn piece(item: &str, after: usize, events: &[&str], versions: &[u64]) -> TextPiece {
     TextPiece {
@@ -9,7 +9,7 @@
         after,
         events: events.iter().map(|event| (*event).to_owned()).collect(),
         versions: versions.to_vec(),
-        whole: false,
+        complete: false,
     }
 }
 
@@ -51,7 +51,7 @@
         },
     ];
     for case in cases {
-        let texts = put_together(case.pieces);
+        let texts = join_pieces(case.pieces);
         let (item, text) = &texts[0];
         assert_eq!(item, "a", "{}", case.name);
         assert_eq!(text.events, case.events, "{}", case.name);
@@ -62,7 +62,7 @@
 
 #[test]
 fn texts_of_several_items_are_sorted() {
-    let texts = put_together(vec![
+    let texts = join_pieces(vec![
         piece("b", 0, &["1"], &[4]),
         piece("a", 0, &["1"], &[4]),
         piece("b", 1, &["2"], &[4]),
