--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -130,7 +130,7 @@
             .iter()
             .map(|upstream| UpstreamState {
                 key: inner.key_of(upstream.address, upstream.start),
-                hash: hash_of(upstream.address),
+                address_hash: hash_of(upstream.address),
                 local_zone: upstream.local_zone,
                 leaving: upstream.leaving,
                 limit,
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -45,7 +45,7 @@
     let states: Vec<UpstreamState> = (0..upstreams)
         .map(|key| UpstreamState {
             key: UpstreamKey(key),
-            hash: u64::from(key),
+            address_hash: u64::from(key),
             local_zone: key.is_multiple_of(3),
             leaving: false,
             limit: 32,
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -45,7 +45,7 @@
         return upstreams.to_vec();
     }
     let mut sorted = upstreams.to_vec();
-    sorted.sort_unstable_by_key(|state| (!state.local_zone, splitmix64(state.hash)));
+    sorted.sort_unstable_by_key(|state| (!state.local_zone, splitmix64(state.address_hash)));
     let local_count = sorted.partition_point(|state| state.local_zone);
     let (local_upstreams, other_upstreams) = sorted.split_at(local_count);
     let local_target = LOCAL_SUBSET_SIZE
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -142,7 +142,7 @@
         for (index, state) in chosen.iter().enumerate() {
             self.index_by_key[state.key.0 as usize] = index as u32;
         }
-        self.ring = Ring::new(chosen.iter().map(|state| state.hash));
+        self.ring = Ring::new(chosen.iter().map(|state| state.address_hash));
         self.upstreams = updated;
     }
 
@@ -163,7 +163,7 @@
         let entry_range = self.entry_share.get(now);
         for upstream in &mut self.upstreams {
             let scaled_limit = limit.apply(f64::from(upstream.state.limit)) * self.scale;
-            let offset = splitmix64(upstream.state.hash) as f64 / u64::MAX as f64;
+            let offset = splitmix64(upstream.state.address_hash) as f64 / u64::MAX as f64;
             upstream.share = entry_range.slots(scaled_limit, offset);
         }
         if self.upstreams.iter().all(|upstream| upstream.share == 0) {
@@ -172,7 +172,7 @@
             let receiver = self
                 .upstreams
                 .iter_mut()
-                .min_by_key(|upstream| splitmix64(upstream.state.hash));
+                .min_by_key(|upstream| splitmix64(upstream.state.address_hash));
             if let Some(upstream) = receiver {
                 upstream.share = 1;
             }
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -50,7 +50,7 @@
     /// Identifies this upstream.
     pub key: UpstreamKey,
     /// Hash of its address. It is the same on every VM, unlike the key.
-    pub hash: u64,
+    pub address_hash: u64,
     /// Whether it is in the same availability zone as this VM.
     pub local_zone: bool,
     /// Whether it is about to stop, and gets no new work.
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -114,7 +114,7 @@
 fn states(load: &Load) -> Vec<UpstreamState> {
     let state = |key: usize| UpstreamState {
         key: UpstreamKey(key as u32),
-        hash: key as u64,
+        address_hash: key as u64,
         local_zone: true,
         leaving: false,
         limit: load.slots as u32,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -23,7 +23,7 @@
 fn upstream(key: u32) -> UpstreamState {
     UpstreamState {
         key: UpstreamKey(key),
-        hash: u64::from(key) * 7919,
+        address_hash: u64::from(key) * 7919,
         local_zone: key.is_multiple_of(3),
         leaving: false,
         limit: SLOTS_PER_UPSTREAM,
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -26,7 +26,7 @@
 fn state(key: UpstreamKey) -> UpstreamState {
     UpstreamState {
         key,
-        hash: u64::from(key.0) * 7919,
+        address_hash: u64::from(key.0) * 7919,
         local_zone: false,
         leaving: false,
         limit: SLOTS,
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -378,7 +378,7 @@
 fn state(key: u32) -> UpstreamState {
     UpstreamState {
         key: UpstreamKey(key),
-        hash: u64::from(key) * 7919,
+        address_hash: u64::from(key) * 7919,
         local_zone: false,
         leaving: false,
         limit: SLOTS as u32,
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -126,7 +126,7 @@
     let upstreams: Vec<UpstreamState> = (0..4_800)
         .map(|key| UpstreamState {
             key: UpstreamKey(key),
-            hash: u64::from(key) * 31,
+            address_hash: u64::from(key) * 31,
             local_zone: false,
             leaving: false,
             limit: 32,
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -75,7 +75,7 @@
 fn upstream_state(key: u32) -> UpstreamState {
     UpstreamState {
         key: UpstreamKey(key),
-        hash: splitmix64(u64::from(key)),
+        address_hash: splitmix64(u64::from(key)),
         local_zone: true,
         leaving: false,
         limit: SLOTS as u32,
