--- a/crates/firweir/src/process/entry.rs
+++ b/crates/firweir/src/process/entry.rs
@@ -10,8 +10,8 @@
 use std::time::Instant;
 
 use arc_swap::ArcSwap;
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::straggler::REPORT_INTERVAL;
 use firweir_policy::suspect::Isolation;
 use firweir_policy::suspect::LossReport;
@@ -76,7 +76,7 @@
 /// The dispatcher that firweir runs with.
 #[must_use]
 pub fn balanced() -> Box<dyn Dispatcher> {
-    Box::new(Balanced::new())
+    Box::new(LaneDispatcher::new())
 }
 
 #[derive(Debug)]
--- a/crates/firweir/tests/shared_gate.rs
+++ b/crates/firweir/tests/shared_gate.rs
@@ -9,7 +9,7 @@
 use firweir::request::gate::Ask;
 use firweir::request::gate::Gate;
 use firweir::request::gate::GateUpstream;
-use firweir_policy::dispatch::Balanced;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
@@ -30,7 +30,7 @@
 }
 
 fn shared_gate() -> Arc<Gate> {
-    let gate = Gate::new(Arc::new(SystemClock), Box::new(Balanced::new()));
+    let gate = Gate::new(Arc::new(SystemClock), Box::new(LaneDispatcher::new()));
     let upstream = GateUpstream {
         address: ([127, 0, 0, 1], 1).into(),
         start: 0,
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -18,8 +18,8 @@
 use firweir::process::entry::balanced;
 use firweir::request::gate::Ask;
 use firweir::request::gate::Permit;
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::tries::Tries;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
@@ -71,8 +71,8 @@
 /// When a client may come back while this node knows no configuration yet.
 const NOT_READY: Duration = Duration::from_millis(300);
 
-fn keeping_outliers() -> Box<dyn Dispatcher> {
-    Box::new(Balanced::keeping_outliers())
+fn without_outlier_ejection() -> Box<dyn Dispatcher> {
+    Box::new(LaneDispatcher::without_outlier_ejection())
 }
 
 /// Answers live calls; shared by all connections.
@@ -120,7 +120,7 @@
         let dispatcher: fn() -> Box<dyn Dispatcher> = if shared.off.leaves(Mechanism::Outliers) {
             balanced
         } else {
-            keeping_outliers
+            without_outlier_ejection
         };
         let affinity = xxh3_64(node.as_bytes());
         let gates = Gates::new(Arc::clone(&shared.clock), zone, dispatcher);
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -9,9 +9,9 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
@@ -41,7 +41,7 @@
     }
 }
 
-fn loaded(upstreams: u32, entries: usize, now: Instant) -> Balanced {
+fn loaded(upstreams: u32, entries: usize, now: Instant) -> LaneDispatcher {
     let states: Vec<UpstreamState> = (0..upstreams)
         .map(|key| UpstreamState {
             key: UpstreamKey(key),
@@ -57,7 +57,7 @@
         rank: entries / 2,
         known_entries: entries,
     };
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &states, &fleet);
     let warm = now + Duration::from_secs(10);
     dispatcher.tick(warm);
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -52,7 +52,7 @@
 
 /// Dispatcher with a lane each for short live calls, long live calls and training.
 #[derive(Debug)]
-pub struct Balanced {
+pub struct LaneDispatcher {
     slots: Slots,
     limit: AimdLimit,
     lanes: [Lane; KINDS.len()],
@@ -67,13 +67,13 @@
     upstreams: Vec<UpstreamState>,
 }
 
-impl Default for Balanced {
+impl Default for LaneDispatcher {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Balanced {
+impl LaneDispatcher {
     /// A dispatcher without upstreams.
     #[must_use]
     pub fn new() -> Self {
@@ -91,7 +91,7 @@
 
     /// A dispatcher that gives slow and failing upstreams as much work as others.
     #[must_use]
-    pub fn keeping_outliers() -> Self {
+    pub fn without_outlier_ejection() -> Self {
         Self {
             slots: Slots::without_outlier_ejection(),
             ..Self::new()
@@ -298,7 +298,7 @@
     }
 }
 
-impl Dispatcher for Balanced {
+impl Dispatcher for LaneDispatcher {
     fn set_upstreams(
         &mut self,
         now: Instant,
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Balanced;
+use super::LaneDispatcher;
 use crate::lane::KINDS;
 use crate::lane::LaneKind;
 use crate::lane::ServingSlots;
@@ -13,7 +13,7 @@
 use crate::work::UpstreamKey;
 use crate::work::Work;
 
-impl Balanced {
+impl LaneDispatcher {
     /// Slots that serve the queue of this kind on this node.
     pub(super) fn serving(&self, kind: LaneKind) -> ServingSlots {
         let own = self.slots_for(kind);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
 use firweir_policy::work::EntryDemands;
@@ -88,7 +88,7 @@
 }
 
 struct Simulation {
-    dispatcher: Balanced,
+    dispatcher: LaneDispatcher,
     start: Instant,
     now: Instant,
     upstreams: Vec<UpstreamState>,
@@ -106,7 +106,7 @@
     fn new(offers: &[Offer]) -> Self {
         let start = Instant::now();
         let upstreams: Vec<UpstreamState> = (0..6).map(upstream).collect();
-        let mut dispatcher = Balanced::new();
+        let mut dispatcher = LaneDispatcher::new();
         dispatcher.set_upstreams(start, &upstreams, &EntryDemands::SINGLE_ENTRY);
         Self {
             dispatcher,
@@ -509,7 +509,7 @@
 /// with a time for the retry.
 #[test]
 fn work_without_an_upstream_is_refused_at_once() {
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     let now = Instant::now();
     dispatcher.offer(
         now,
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::occupancy::Occupancy;
 use firweir_policy::work::Class;
 use firweir_policy::work::Ending;
@@ -167,7 +167,7 @@
 fn a_full_queue_never_blocks_a_higher_priority() {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(10);
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     for key in 0..200 {
@@ -189,7 +189,7 @@
 #[test]
 fn a_call_that_cannot_end_in_time_is_refused_at_once() {
     let now = Instant::now();
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
@@ -213,7 +213,7 @@
 #[test]
 fn refused_callers_are_asked_back_once_room_opens() {
     let now = Instant::now();
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
@@ -232,7 +232,7 @@
 #[test]
 fn a_waiting_call_is_refused_when_room_opens_too_late() {
     let now = Instant::now();
-    let mut dispatcher = Balanced::new();
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(now, Some(SEED));
     for key in 0..8 {
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::route::splitmix64;
 use firweir_policy::tries::Tries;
 use firweir_policy::work::Class;
@@ -77,7 +77,7 @@
     now: Instant,
     /// Time of the previous step.
     previous: Instant,
-    nodes: Vec<Balanced>,
+    nodes: Vec<LaneDispatcher>,
     states: Vec<UpstreamState>,
     upstreams: Vec<Upstream>,
     offers: Vec<Offer>,
@@ -385,8 +385,13 @@
     }
 }
 
-fn dispatcher(start: Instant, shared: bool, node: usize, states: &[UpstreamState]) -> Balanced {
-    let mut dispatcher = Balanced::new();
+fn dispatcher(
+    start: Instant,
+    shared: bool,
+    node: usize,
+    states: &[UpstreamState],
+) -> LaneDispatcher {
+    let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(start, states, &EntryDemands::SINGLE_ENTRY);
     dispatcher.set_shared(start, shared.then(|| splitmix64(node as u64)));
     dispatcher
--- a/crates/policy/tests/speed_calls.rs
+++ b/crates/policy/tests/speed_calls.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use firweir_policy::aimd_limit::AimdLimit;
-use firweir_policy::dispatch::Balanced;
 use firweir_policy::dispatch::Decision;
 use firweir_policy::dispatch::Dispatcher;
+use firweir_policy::dispatch::LaneDispatcher;
 use firweir_policy::route::splitmix64;
 use firweir_policy::slots::Slots;
 use firweir_policy::speed::CallSpeed;
@@ -55,7 +55,7 @@
     choice: Choice,
     start: Instant,
     now_ms: u64,
-    nodes: Vec<Balanced>,
+    nodes: Vec<LaneDispatcher>,
     /// Last reports by node and upstream, for [`Choice::PowerOfTwo`].
     reports: Vec<[Option<CallSpeed>; UPSTREAMS]>,
     upstreams: Vec<Vec<InFlightCall>>,
@@ -86,7 +86,7 @@
     fn new(choice: Choice) -> Self {
         let start = Instant::now();
         let upstreams: Vec<_> = (0..UPSTREAMS as u32).map(upstream_state).collect();
-        let mut nodes: Vec<Balanced> = (0..NODES).map(|_| Balanced::new()).collect();
+        let mut nodes: Vec<LaneDispatcher> = (0..NODES).map(|_| LaneDispatcher::new()).collect();
         for node in &mut nodes {
             node.set_upstreams(start, &upstreams, &EntryDemands::SINGLE_ENTRY);
         }
