--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -155,14 +155,14 @@
         let decision = loop {
             let changed = self.next_look_changed.notified();
             let look_at = self
-                .next_look()
+                .next_wakeup()
                 .map_or(deadline, tokio::time::Instant::from_std);
             tokio::select! {
                 biased;
                 decision = &mut decided => break decision.ok(),
                 () = tokio::time::sleep_until(deadline) => break None,
                 () = tokio::time::sleep_until(look_at), if look_at < deadline => {
-                    self.decide(|dispatcher, now| dispatcher.look(now));
+                    self.decide(|dispatcher, now| dispatcher.wake(now));
                 }
                 () = changed => {}
             }
@@ -188,8 +188,8 @@
         self.decide(|dispatcher, now| dispatcher.set_shared(now, shared));
     }
 
-    fn next_look(&self) -> Option<Instant> {
-        self.lock().dispatcher.next_look(self.clock.now())
+    fn next_wakeup(&self) -> Option<Instant> {
+        self.lock().dispatcher.next_wakeup(self.clock.now())
     }
 
     /// Applies an update to the dispatcher and carries out its decisions.
@@ -252,7 +252,7 @@
 
     fn finish(&self, key: WorkKey, finish: &Finish) {
         self.decide(|dispatcher, now| dispatcher.finish(now, key, finish));
-        if self.next_look().is_some() {
+        if self.next_wakeup().is_some() {
             self.next_look_changed.notify_waiters();
         }
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -388,12 +388,12 @@
         self.track_occupancy(now, shared);
     }
 
-    fn next_look(&self, now: Instant) -> Option<Instant> {
+    fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         let occupancy = self.occupancy.as_ref().filter(|_| self.waiting() > 0)?;
         occupancy.next_room(now)
     }
 
-    fn look(&mut self, now: Instant) {
+    fn wake(&mut self, now: Instant) {
         self.refuse_late(now);
         self.start_waiting(now);
     }
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -56,12 +56,12 @@
     fn set_shared(&mut self, _now: Instant, _shared: Option<u64>) {}
     /// Time at which waiting work may start even if no running work ends before; `None` if only
     /// another event can start it.
-    fn next_look(&self, _now: Instant) -> Option<Instant> {
+    fn next_wakeup(&self, _now: Instant) -> Option<Instant> {
         None
     }
-    /// Starts work that may start now; call it at the time that [`Dispatcher::next_look`]
+    /// Starts work that may start now; call it at the time that [`Dispatcher::next_wakeup`]
     /// returned.
-    fn look(&mut self, _now: Instant) {}
+    fn wake(&mut self, _now: Instant) {}
     /// The next decision, if any.
     fn next_decision(&mut self) -> Option<Decision>;
     /// Amount of work that was started and has not ended.
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -219,7 +219,7 @@
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
     dispatcher.finish(now, WorkKey(0), &ended(Ending::Refused, Some(600)));
     while dispatcher.next_decision().is_some() {}
-    let opens = dispatcher.next_look(now);
+    let opens = dispatcher.next_wakeup(now);
     assert_eq!(opens, None, "nothing waits");
     dispatcher.offer(now, work(1, 0, now + Duration::from_millis(20)));
     let Some(Decision::Refuse { retry_after, .. }) = dispatcher.next_decision() else {
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -359,9 +359,9 @@
             if tick == 0 {
                 self.nodes[node].tick(self.now);
             }
-            let next = self.nodes[node].next_look(self.previous);
+            let next = self.nodes[node].next_wakeup(self.previous);
             if next.is_some_and(|at| at <= self.now) {
-                self.nodes[node].look(self.now);
+                self.nodes[node].wake(self.now);
             }
             self.carry_out(node);
         }
