--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -17,8 +17,8 @@
 
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
-use firweir_policy::listing::Unwritten;
 use firweir_policy::long_poll::LongPoll;
+use firweir_policy::write_batching::Unwritten;
 use serde::de::DeserializeOwned;
 use tokio::sync::Notify;
 
--- a/crates/policy/tests/listing.rs
+++ b/crates/policy/tests/write_batching.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firweir_policy::listing::Unwritten;
+use firweir_policy::write_batching::Unwritten;
 
 struct Case {
     name: &'static str,
