--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -18,7 +18,7 @@
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
 use firweir_policy::long_poll::LongPoll;
-use firweir_policy::write_batching::Unwritten;
+use firweir_policy::write_batching::UnwrittenResults;
 use serde::de::DeserializeOwned;
 use tokio::sync::Notify;
 
@@ -453,7 +453,7 @@
                 let unwritten =
                     state.unwritten_results(&self.items, self.head.target_groups, age, due);
                 let wait = if paced {
-                    unwritten.wait()
+                    unwritten.write_delay()
                 } else {
                     Duration::ZERO
                 };
@@ -614,16 +614,16 @@
         target_groups: u32,
         age: Duration,
         due: Duration,
-    ) -> Unwritten {
+    ) -> UnwrittenResults {
         let groups = self.statuses_by_group(items);
         let groups = groups.chunk_by(|a, b| a.0 == b.0);
         let has = |group: &[(&str, ItemStatus)], wanted| group.iter().any(|item| item.1 == wanted);
         let complete: Vec<_> = groups
             .filter(|group| !has(group, ItemStatus::Open))
             .collect();
-        Unwritten {
+        UnwrittenResults {
             completes_group: complete.iter().any(|group| has(group, ItemStatus::Pending)),
-            whole_groups: complete.len(),
+            complete_groups: complete.len(),
             target_groups: target_groups as usize,
             age,
             due,
--- a/crates/policy/src/write_batching.rs
+++ b/crates/policy/src/write_batching.rs
@@ -27,11 +27,11 @@
 
 /// Finished samples of a step that are not yet written to its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unwritten {
+pub struct UnwrittenResults {
     /// Whether one of them completes its group.
     pub completes_group: bool,
     /// Number of complete groups, written or not.
-    pub whole_groups: usize,
+    pub complete_groups: usize,
     /// Number of groups that the trainer waits for.
     pub target_groups: usize,
     /// Age of the step when the oldest of these samples was finished.
@@ -40,11 +40,11 @@
     pub due: Duration,
 }
 
-impl Unwritten {
+impl UnwrittenResults {
     /// Time for which the write is delayed after the oldest of these samples was finished.
     #[must_use]
-    pub fn wait(&self) -> Duration {
-        let has_target = self.whole_groups >= self.target_groups;
+    pub fn write_delay(&self) -> Duration {
+        let has_target = self.complete_groups >= self.target_groups;
         let until = |before_due| self.due.saturating_sub(before_due + self.age);
         let (until_nearly_due, until_deadline) = (until(NEARLY_DUE), until(WRITE_DEADLINE));
         match (has_target || until_deadline.is_zero(), self.completes_group) {
--- a/crates/policy/tests/write_batching.rs
+++ b/crates/policy/tests/write_batching.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use firweir_policy::write_batching::Unwritten;
+use firweir_policy::write_batching::UnwrittenResults;
 
 struct Case {
     name: &'static str,
     completes_group: bool,
-    whole_groups: usize,
+    complete_groups: usize,
     age_ms: u64,
     wait_ms: u64,
 }
@@ -19,56 +19,56 @@
         Case {
             name: "an early group waits for others",
             completes_group: true,
-            whole_groups: 3,
+            complete_groups: 3,
             age_ms: 1_500,
             wait_ms: 1_000,
         },
         Case {
             name: "single samples wait too",
             completes_group: false,
-            whole_groups: 0,
+            complete_groups: 0,
             age_ms: 500,
             wait_ms: 1_000,
         },
         Case {
             name: "the last group that is waited for goes at once",
             completes_group: true,
-            whole_groups: 18,
+            complete_groups: 18,
             age_ms: 3_000,
             wait_ms: 0,
         },
         Case {
             name: "what is whole shortly before the step is due is there as it is due",
             completes_group: true,
-            whole_groups: 12,
+            complete_groups: 12,
             age_ms: 6_300,
             wait_ms: 1_000,
         },
         Case {
             name: "a group that is later goes at once",
             completes_group: true,
-            whole_groups: 12,
+            complete_groups: 12,
             age_ms: 7_400,
             wait_ms: 0,
         },
         Case {
             name: "single samples make no trainer go on",
             completes_group: false,
-            whole_groups: 12,
+            complete_groups: 12,
             age_ms: 8_000,
             wait_ms: 1_000,
         },
     ];
     for case in cases {
-        let unwritten = Unwritten {
+        let unwritten = UnwrittenResults {
             completes_group: case.completes_group,
-            whole_groups: case.whole_groups,
+            complete_groups: case.complete_groups,
             target_groups: 18,
             age: Duration::from_millis(case.age_ms),
             due: Duration::from_millis(7_500),
         };
         assert_eq!(
-            unwritten.wait(),
+            unwritten.write_delay(),
             Duration::from_millis(case.wait_ms),
             "{}",
             case.name
@@ -87,15 +87,15 @@
         if now_ms % 350 == 0 && whole > 0 {
             oldest.get_or_insert(now_ms as u64);
         }
-        let unwritten = Unwritten {
+        let unwritten = UnwrittenResults {
             completes_group: true,
-            whole_groups: whole,
+            complete_groups: whole,
             target_groups: 18,
             age: Duration::from_millis(oldest.unwrap_or(now_ms as u64)),
             due: Duration::from_millis(7_500),
         };
         let waited = oldest.map(|since| Duration::from_millis(now_ms as u64 - since));
-        if waited.is_some_and(|waited| waited >= unwritten.wait()) {
+        if waited.is_some_and(|waited| waited >= unwritten.write_delay()) {
             writes += 1;
             oldest = None;
         }
@@ -149,14 +149,14 @@
                 continue;
             };
             let is_whole = now_ms == whole_ms;
-            let unwritten = Unwritten {
+            let unwritten = UnwrittenResults {
                 completes_group: is_whole,
-                whole_groups: if is_whole { 18 } else { 17 },
+                complete_groups: if is_whole { 18 } else { 17 },
                 target_groups: 18,
                 age: Duration::from_millis(since),
                 due: Duration::from_millis(7_500),
             };
-            if Duration::from_millis(now_ms - since) >= unwritten.wait() {
+            if Duration::from_millis(now_ms - since) >= unwritten.write_delay() {
                 listed.push((now_ms, done));
                 oldest = None;
             }
