--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwap;
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
-use firweir_policy::relist::Relist;
+use firweir_policy::relist::RelistTimer;
 use rand::Rng;
 
 use crate::change::Change;
@@ -203,7 +203,7 @@
     /// Whether any seed answered in the last round of questions, even with outdated data.
     pub(crate) seeds_answer: bool,
     /// Decides when this node lists all upstreams itself.
-    pub(crate) relist: Relist,
+    pub(crate) relist: RelistTimer,
 }
 
 /// Size of the fleet as reported by a seed: nodes, and objects of the followed kind.
@@ -241,7 +241,7 @@
         next_seed,
         fleet_size: None,
         seeds_answer: false,
-        relist: Relist::default(),
+        relist: RelistTimer::default(),
     };
     follower.await_need().await;
     let mut passed_on = follower.await_seeds().await;
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -74,7 +74,7 @@
             }
             if let Some((passing, sent)) = passing {
                 if self.is_new_enough(&passing) {
-                    self.relist.seed_helped();
+                    self.relist.cancel();
                     return self.update_of(passing, sent);
                 }
                 old = Some(passing);
@@ -101,7 +101,7 @@
                 entries: size.objects,
                 reads_per_s: self.sources.store_reads_per_s,
             };
-            cost.spread()
+            cost.jitter_window()
         });
         // If no seed answers, only a list of its own brings this node up to date in time.
         let most = if self.seeds_answer {
--- a/crates/policy/src/relist.rs
+++ b/crates/policy/src/relist.rs
@@ -40,7 +40,7 @@
 impl ListCost {
     /// Time over which the lists of all nodes are spread; `None` if nodes may list without a wait.
     #[must_use]
-    pub fn spread(&self) -> Option<Duration> {
+    pub fn jitter_window(&self) -> Option<Duration> {
         let pages = self.entries.div_ceil(PAGE_ENTRIES).max(1);
         let reads = self.nodes as f64 * pages as f64;
         let spread = reads / (self.reads_per_s.max(1.0) * MAX_READS_SHARE);
@@ -51,11 +51,11 @@
 
 /// Wait of a node before it lists all upstreams itself.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Relist {
+pub struct RelistTimer {
     due_at: Option<Instant>,
 }
 
-impl Relist {
+impl RelistTimer {
     /// Whether a node that no seed node has brought up to date lists now. A wait lasts
     /// `spread * fraction`, where `fraction` is random in 0 to 1; each list starts a new wait.
     /// Without a `spread` a list is always due.
@@ -72,7 +72,7 @@
     }
 
     /// Ends the wait; called when a seed node has brought this node up to date.
-    pub const fn seed_helped(&mut self) {
+    pub const fn cancel(&mut self) {
         self.due_at = None;
     }
 }
--- a/crates/policy/tests/relist.rs
+++ b/crates/policy/tests/relist.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use firweir_policy::relist::ListCost;
-use firweir_policy::relist::Relist;
+use firweir_policy::relist::RelistTimer;
 
 /// Entries of an upstream list of the largest fleet.
 const ENTRIES: usize = 10_000;
@@ -37,8 +37,8 @@
 fn play(case: &Case, cost: Option<ListCost>) -> Outcome {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let spread = cost.and_then(|cost| cost.spread());
-    let mut relists = vec![Relist::default(); case.nodes];
+    let spread = cost.and_then(|cost| cost.jitter_window());
+    let mut relists = vec![RelistTimer::default(); case.nodes];
     let mut events: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
     let mut random = 7_u64;
     let mut part = || {
@@ -147,8 +147,8 @@
         entries: 60,
         reads_per_s: 6_000.0,
     };
-    assert_eq!(cost.spread(), None);
-    assert!(Relist::default().is_due(Instant::now(), cost.spread(), 0.9));
+    assert_eq!(cost.jitter_window(), None);
+    assert!(RelistTimer::default().is_due(Instant::now(), cost.jitter_window(), 0.9));
 }
 
 /// Guards against nodes that list all upstreams again and again while the store is slow: a
@@ -157,12 +157,12 @@
 fn a_list_that_failed_waits_anew() {
     let now = Instant::now();
     let spread = Some(Duration::from_secs(30));
-    let mut relist = Relist::default();
+    let mut relist = RelistTimer::default();
     assert!(!relist.is_due(now, spread, 0.1));
     let later = now + Duration::from_secs(3);
     assert!(relist.is_due(later, spread, 0.5));
     assert!(!relist.is_due(later, spread, 0.5));
-    relist.seed_helped();
+    relist.cancel();
     assert!(
         !relist.is_due(later + Duration::from_secs(20), spread, 0.5),
         "the wait began anew"
