--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -317,7 +317,7 @@
     fn loads_at_once(&self, engines: usize) -> usize {
         let most = max_concurrent_loads(engines);
         if self.shared.parts.off.leaves(Mechanism::LoadLimit) {
-            self.lock().limit.at_once(most)
+            self.lock().limit.max_concurrent(most)
         } else {
             most
         }
@@ -340,7 +340,7 @@
         if let Some(loaded) = held.loading.take_if(|loading| has(&loading.load)) {
             held.until = None;
             let took = now.duration_since(loaded.since);
-            state.limit.ended(now, took, state.full);
+            state.limit.record_ended(now, took, state.full);
         }
         let waits = held.until.is_some_and(|until| until > now);
         if !waits {
--- a/crates/policy/src/load_limit.rs
+++ b/crates/policy/src/load_limit.rs
@@ -56,7 +56,7 @@
 
 impl LoadLimit {
     /// Records the time of a load that ended. `is_full`: whether the limit was reached.
-    pub fn ended(&mut self, now: Instant, took: Duration, is_full: bool) {
+    pub fn record_ended(&mut self, now: Instant, took: Duration, is_full: bool) {
         let known = self.quickest.filter(|_| self.limit > MIN_LIMIT);
         let quickest = known.unwrap_or(took).min(took);
         self.quickest = Some(quickest);
@@ -84,7 +84,7 @@
 
     /// Number of engines that may load at the same time, at least 1 and at most `max_loads`.
     #[must_use]
-    pub fn at_once(&self, max_loads: usize) -> usize {
+    pub fn max_concurrent(&self, max_loads: usize) -> usize {
         (self.limit as usize).min(max_loads).max(1)
     }
 }
--- a/crates/policy/tests/load_limit.rs
+++ b/crates/policy/tests/load_limit.rs
@@ -81,16 +81,16 @@
     let mut now = start;
     while now < start + time {
         now += Duration::from_millis(20);
-        let is_full = running.len() >= limit.at_once(max_loads);
+        let is_full = running.len() >= limit.max_concurrent(max_loads);
         let ended: Vec<_> = running.extract_if(.., |(_, end)| *end <= now).collect();
         for (started, _) in &ended {
-            limit.ended(now, now.duration_since(*started), is_full);
+            limit.record_ended(now, now.duration_since(*started), is_full);
         }
-        while running.len() < limit.at_once(max_loads) {
+        while running.len() < limit.max_concurrent(max_loads) {
             let utilization = (running.len() + 1) as f64 / case.store_capacity as f64;
             let load_time = LOAD_TIME.mul_f64(utilization.max(1.0)) + NOTICE_DELAY;
             running.push((now, now + load_time));
         }
     }
-    limit.at_once(max_loads)
+    limit.max_concurrent(max_loads)
 }
