--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -200,7 +200,7 @@
         }
         for upstream in &mut upstreams {
             for ended in upstream.step(now_ms, load.slots) {
-                let told = ReportedLoad {
+                let reported_load = ReportedLoad {
                     running: upstream.running.len() as u32 + 1,
                     waiting: upstream.waiting.len() as u32,
                     slots: load.slots as u32,
@@ -223,7 +223,7 @@
                             ending: Ending::Answered,
                             elapsed: Duration::from_millis(now_ms - sent_ms),
                             tokens: 0,
-                            reported_load: Some(told),
+                            reported_load: Some(reported_load),
                         };
                         if let Some(sender) = senders.get_mut(sender) {
                             sender.finish(at(now_ms), work, &finish);
