--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -112,9 +112,9 @@
         }
         let cost_log2 = f64::from(work.cost_tokens.max(1)).log2();
         let usual = self.usual_cost_log2.get_or_insert(cost_log2);
-        let long = cost_log2 >= *usual + LONG_CALL_DOUBLINGS;
+        let is_long = cost_log2 >= *usual + LONG_CALL_DOUBLINGS;
         *usual += (cost_log2 - *usual) * USUAL_COST_SMOOTHING;
-        if long {
+        if is_long {
             LaneKind::Long
         } else {
             LaneKind::Short
@@ -164,13 +164,13 @@
 
     /// Slots that serve the queue of this kind.
     fn slots_for(&self, kind: LaneKind) -> u32 {
-        let open = self.slots.usable();
+        let usable = self.slots.usable();
         let live = self.reserved(LaneKind::Short) + self.reserved(LaneKind::Long);
         let floor = self.training_floor();
         match kind {
-            LaneKind::Short => open.saturating_sub(floor),
-            LaneKind::Long => open.saturating_sub(floor + self.reserved(LaneKind::Short)),
-            LaneKind::Training => open.saturating_sub(live).max(floor),
+            LaneKind::Short => usable.saturating_sub(floor),
+            LaneKind::Long => usable.saturating_sub(floor + self.reserved(LaneKind::Short)),
+            LaneKind::Training => usable.saturating_sub(live).max(floor),
         }
         .max(1)
     }
@@ -384,8 +384,8 @@
         self.start_waiting(now);
     }
 
-    fn set_shared(&mut self, now: Instant, shared: Option<u64>) {
-        self.track_occupancy(now, shared);
+    fn set_shared(&mut self, now: Instant, shared_seed: Option<u64>) {
+        self.track_occupancy(now, shared_seed);
     }
 
     fn next_wakeup(&self, now: Instant) -> Option<Instant> {
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -91,14 +91,14 @@
 
     /// Starts to estimate the capacity left at shared upstreams, with this random seed. `None`
     /// ends it: the node then uses all slots as its own.
-    pub(super) fn track_occupancy(&mut self, now: Instant, shared: Option<u64>) {
-        if shared.is_some() == self.occupancy.is_some() {
+    pub(super) fn track_occupancy(&mut self, now: Instant, shared_seed: Option<u64>) {
+        if shared_seed.is_some() == self.occupancy.is_some() {
             return;
         }
         for state in &self.upstreams {
             self.slots.set_closed(state.key, false);
         }
-        self.occupancy = shared.map(Occupancy::new);
+        self.occupancy = shared_seed.map(Occupancy::new);
         if let Some(occupancy) = &mut self.occupancy {
             occupancy.set_upstreams(&self.upstreams);
         }
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -53,7 +53,7 @@
     fn tick(&mut self, now: Instant);
     /// Sets whether the upstreams also serve nodes that this one has no information about.
     /// `Some` holds a random seed that differs by node; `None` means that they do not.
-    fn set_shared(&mut self, _now: Instant, _shared: Option<u64>) {}
+    fn set_shared(&mut self, _now: Instant, _shared_seed: Option<u64>) {}
     /// Time at which waiting work may start even if no running work ends before; `None` if only
     /// another event can start it.
     fn next_wakeup(&self, _now: Instant) -> Option<Instant> {
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -176,11 +176,11 @@
             .estimate
             .expected_time(work)
             .mul_f64(self.time_factor());
-        let trusted = self.estimate.is_trusted();
-        if left.is_zero() || (trusted && left < needed) {
+        let is_trusted = self.estimate.is_trusted();
+        if left.is_zero() || (is_trusted && left < needed) {
             return Err(Refusal::Late);
         }
-        if self.queue.is_empty() || !trusted {
+        if self.queue.is_empty() || !is_trusted {
             return Ok(position);
         }
         let wait = serving.wait(
@@ -341,13 +341,13 @@
 /// it can still end within [`OBJECTIVE_FRACTION`] of its latency objective. Work whose objective
 /// has already passed may not wait.
 fn longest_wait(estimate: &ServiceTimeEstimate, work: &Work, call_times: f64) -> Duration {
-    let short = estimate.mean().mul_f64(call_times);
+    let base_wait = estimate.mean().mul_f64(call_times);
     let Some(objective) = work.objective else {
-        return short;
+        return base_wait;
     };
     if objective.is_zero() {
         return Duration::ZERO;
     }
-    let bounded = objective.mul_f64(OBJECTIVE_FRACTION);
-    short.max(bounded.saturating_sub(estimate.expected_time(work)))
+    let objective_budget = objective.mul_f64(OBJECTIVE_FRACTION);
+    base_wait.max(objective_budget.saturating_sub(estimate.expected_time(work)))
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -178,14 +178,14 @@
                 Decision::Start { work, upstream } => {
                     let (offer, started) = &self.works[work.0 as usize];
                     let factor = if self.slow == Some(upstream) { 10 } else { 1 };
-                    let takes = Duration::from_millis(5) * started.cost_tokens * factor;
+                    let service_time = Duration::from_millis(5) * started.cost_tokens * factor;
                     self.starts.push((self.now, upstream));
                     self.running.push(RunningWork {
                         offer: *offer,
                         work,
                         upstream,
                         started: self.now,
-                        ends: self.now + takes,
+                        ends: self.now + service_time,
                         deadline: started.deadline,
                     });
                 }
@@ -240,7 +240,7 @@
     name: &'static str,
     offers: Vec<Offer>,
     /// Smallest allowed fraction of each offer that is answered in time.
-    least: Vec<f64>,
+    min_fractions: Vec<f64>,
 }
 
 /// Guards against callers whose own load fits, but whose work waits behind the excess of others.
@@ -269,30 +269,30 @@
         LoadCase {
             name: "training without end",
             offers: vec![LIVE, TRAINING],
-            least: vec![0.995, 0.0],
+            min_fractions: vec![0.995, 0.0],
         },
         LoadCase {
             name: "one caller with ten times its share",
             offers: vec![LIVE, hot, TRAINING],
-            least: vec![0.99, 0.3, 0.0],
+            min_fractions: vec![0.99, 0.3, 0.0],
         },
         LoadCase {
             name: "a burst of two seconds, three times what fits",
             offers: vec![LIVE, burst],
-            least: vec![0.995, 0.6],
+            min_fractions: vec![0.995, 0.6],
         },
         LoadCase {
             name: "long among short",
             offers: vec![LIVE, long],
-            least: vec![0.995, 0.5],
+            min_fractions: vec![0.995, 0.5],
         },
     ];
     for case in cases {
         let mut simulation = Simulation::new(&case.offers);
         simulation.run(MINUTE + LIVE.patience);
-        for (counts, least) in simulation.counts.iter().zip(&case.least) {
+        for (counts, min_fraction) in simulation.counts.iter().zip(&case.min_fractions) {
             assert!(
-                in_time_fraction(*counts) >= *least,
+                in_time_fraction(*counts) >= *min_fraction,
                 "{}: {:?}",
                 case.name,
                 simulation.counts
--- a/crates/policy/tests/shared_support/mod.rs
+++ b/crates/policy/tests/shared_support/mod.rs
@@ -35,9 +35,9 @@
 const PATIENCE: Duration = Duration::from_millis(800);
 const OBJECTIVE: Duration = Duration::from_millis(150);
 /// Maximum tries and upstreams of one attempt of a client.
-const MAX_ATTEMPTS: u32 = 2;
+const MAX_TRIES: u32 = 2;
 /// Attempts of a client, which retries after the delay that a refusal gives.
-const ATTEMPTS: u32 = 3;
+const CLIENT_ATTEMPTS: u32 = 3;
 /// Time after which a client may retry a call that has used up its tries.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -201,7 +201,7 @@
             attempts: 0,
             ended: false,
         });
-        self.tries.push(Tries::new(MAX_ATTEMPTS, self.shared));
+        self.tries.push(Tries::new(MAX_TRIES, self.shared));
         self.offer_call(work);
     }
 
@@ -282,10 +282,10 @@
         let left = (call.offered + PATIENCE).saturating_duration_since(self.now);
         let pause = retry_after.min(left / 3);
         call.attempts += 1;
-        if call.attempts >= ATTEMPTS || left < OBJECTIVE {
+        if call.attempts >= CLIENT_ATTEMPTS || left < OBJECTIVE {
             return self.end(work, false);
         }
-        self.tries[work.0 as usize] = Tries::new(MAX_ATTEMPTS, self.shared);
+        self.tries[work.0 as usize] = Tries::new(MAX_TRIES, self.shared);
         self.retries.push((self.now + pause, work));
     }
 
