--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -214,10 +214,10 @@
 
     fn bounds(&self, service: &Service, limits: &ScalingLimits) -> Bounds {
         Bounds {
-            least: limits.least,
-            most: limits.most,
+            min_per_zone: limits.least,
+            max_per_zone: limits.most,
             slots: slots_of(&self.parts.fleet, service),
-            spot_price: limits.spot_price,
+            spot_price_ratio: limits.spot_price,
         }
     }
 
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -69,13 +69,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Minimum number of upstreams per zone, both kinds together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Maximum number of upstreams per zone, both kinds together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Number of requests that an upstream runs concurrently.
     pub slots: u32,
     /// Price of a spot upstream relative to an on-demand one in its zone.
-    pub spot_price: f64,
+    pub spot_price_ratio: f64,
 }
 
 /// Number of samples that the open steps request concurrently.
@@ -227,7 +227,7 @@
 #[must_use]
 pub fn cost(counts: &[Counts], zones: &[Zone], bounds: &Bounds) -> f64 {
     let costs = counts.iter().zip(zones).map(|(zone_counts, zone)| {
-        let spot = f64::from(zone_counts.spot) * bounds.spot_price;
+        let spot = f64::from(zone_counts.spot) * bounds.spot_price_ratio;
         zone.price * (f64::from(zone_counts.on_demand) + spot)
     });
     costs.sum()
@@ -251,7 +251,7 @@
 fn is_enough(counts: &[Counts], bounds: &Bounds, needed: u32) -> bool {
     let has_minimum = counts
         .iter()
-        .all(|zone_counts| zone_counts.total() >= bounds.least);
+        .all(|zone_counts| zone_counts.total() >= bounds.min_per_zone);
     has_minimum && covered(counts) >= needed
 }
 
@@ -268,7 +268,7 @@
         for capacity_type in CAPACITY_TYPES {
             let before = present.of(capacity_type);
             let others = present.total() - before;
-            let max_of_kind = bounds.most.saturating_sub(others);
+            let max_of_kind = bounds.max_per_zone.saturating_sub(others);
             let count = target
                 .of(capacity_type)
                 .min(max_of_kind)
@@ -277,7 +277,7 @@
                 continue;
             }
             *present.of_mut(capacity_type) = count;
-            let reason = if zone.present.total() < bounds.least {
+            let reason = if zone.present.total() < bounds.min_per_zone {
                 Reason::BelowLeast
             } else {
                 Reason::TooFew
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -32,7 +32,7 @@
     let mut resulting = listed;
     for order in reductions {
         let others = resulting.total() - resulting.of(order.capacity_type);
-        let count = order.count.max(bounds.least.saturating_sub(others));
+        let count = order.count.max(bounds.min_per_zone.saturating_sub(others));
         push_order(&mut orders, &mut resulting, zone, *order, count);
     }
     if !orders.is_empty() {
@@ -41,7 +41,7 @@
     let mut possible = expected(last, listed);
     for order in unconfirmed().filter(|order| order.count > listed.of(order.capacity_type)) {
         let others = possible.total() - possible.of(order.capacity_type);
-        let count = order.count.min(bounds.most.saturating_sub(others));
+        let count = order.count.min(bounds.max_per_zone.saturating_sub(others));
         if count > listed.of(order.capacity_type) {
             push_order(&mut orders, &mut resulting, zone, *order, count);
         }
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -115,7 +115,7 @@
         let (zone, assigned) = (&self.zones[at], self.assigned[at]);
         let is_present = assigned.of(capacity_type) < zone.present.of(capacity_type);
         let is_available = is_present || !zone.is_unavailable(capacity_type);
-        let has_room = assigned.total() < self.bounds.most;
+        let has_room = assigned.total() < self.bounds.max_per_zone;
         is_available && has_room && self.keeps_limits(at, capacity_type)
     }
 
@@ -123,7 +123,7 @@
     /// part of all spot upstreams. The reserve has to cover the loss of that part.
     fn keeps_limits(&self, at: usize, capacity_type: CapacityType) -> bool {
         let here = self.assigned[at];
-        if self.zones.len() == 1 || here.total() < self.bounds.least {
+        if self.zones.len() == 1 || here.total() < self.bounds.min_per_zone {
             return true;
         }
         let spot_total: u32 = self
@@ -137,7 +137,7 @@
     }
 
     fn compare_zones(&self, a: usize, b: usize, capacity_type: CapacityType) -> std::cmp::Ordering {
-        let has_minimum = |at: usize| self.assigned[at].total() >= self.bounds.least;
+        let has_minimum = |at: usize| self.assigned[at].total() >= self.bounds.min_per_zone;
         let by_price = || {
             self.effective_price(a, capacity_type)
                 .total_cmp(&self.effective_price(b, capacity_type))
@@ -183,7 +183,7 @@
 
     fn fill_to_minimum(&mut self) {
         for at in 0..self.zones.len() {
-            while self.assigned[at].total() < self.bounds.least {
+            while self.assigned[at].total() < self.bounds.min_per_zone {
                 let capacity_type = if self.zones[at].no_spot {
                     CapacityType::OnDemand
                 } else {
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -17,10 +17,10 @@
 const TICK: Duration = Duration::from_millis(250);
 const RETRY_REFUSED_AFTER: Duration = Duration::from_secs(5);
 const BOUNDS: Bounds = Bounds {
-    least: 4,
-    most: 30,
+    min_per_zone: 4,
+    max_per_zone: 30,
     slots: 8,
-    spot_price: 0.4,
+    spot_price_ratio: 0.4,
 };
 
 /// An upstream of the simulated platform.
@@ -176,13 +176,13 @@
             let in_zone = self.in_zone(order.zone);
             let shrinks = order.count < order.before;
             assert!(
-                !shrinks || in_zone >= BOUNDS.least,
+                !shrinks || in_zone >= BOUNDS.min_per_zone,
                 "{in_zone} after {order:?}"
             );
         }
         for zone in 0..3 {
             let in_zone = self.in_zone(zone);
-            assert!(in_zone <= BOUNDS.most, "{in_zone} in zone {zone}");
+            assert!(in_zone <= BOUNDS.max_per_zone, "{in_zone} in zone {zone}");
         }
     }
 
@@ -253,7 +253,11 @@
     simulation.exhausted = vec![(1, CapacityType::Spot)];
     simulation.run(BOOT_TIME * 2);
     let counts = [0, 1, 2].map(|zone| simulation.in_zone(zone));
-    assert_eq!(counts, [BOUNDS.least; 3], "{:?}", simulation.sent_orders);
+    assert_eq!(
+        counts, [BOUNDS.min_per_zone; 3],
+        "{:?}",
+        simulation.sent_orders
+    );
     let sent_before = simulation.sent_orders.len();
     simulation.run(Duration::from_secs(60));
     assert_eq!(
@@ -361,7 +365,10 @@
         assert!(simulation.serving() >= 48, "{}", simulation.serving());
     }
     let cheapest = CAPACITY_TYPES.map(|capacity_type| simulation.count(2, capacity_type));
-    assert!(cheapest.iter().sum::<u32>() > BOUNDS.least, "{cheapest:?}");
+    assert!(
+        cheapest.iter().sum::<u32>() > BOUNDS.min_per_zone,
+        "{cheapest:?}"
+    );
 }
 
 /// Guards against the removal of upstreams that run requests.
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -9,10 +9,10 @@
 use firweir_policy::scaling_repeats::repeats;
 
 const BOUNDS: Bounds = Bounds {
-    least: 2,
-    most: 10,
+    min_per_zone: 2,
+    max_per_zone: 10,
     slots: 8,
-    spot_price: 0.4,
+    spot_price_ratio: 0.4,
 };
 
 const LISTED: Counts = Counts {
@@ -65,8 +65,14 @@
                 let mut after = LISTED;
                 for (capacity_type, count) in repeated(&last_orders, LISTED) {
                     *after.of_mut(capacity_type) = count;
-                    assert!(after.total() >= BOUNDS.least, "{last_orders:?}: {after:?}");
-                    assert!(after.total() <= BOUNDS.most, "{last_orders:?}: {after:?}");
+                    assert!(
+                        after.total() >= BOUNDS.min_per_zone,
+                        "{last_orders:?}: {after:?}"
+                    );
+                    assert!(
+                        after.total() <= BOUNDS.max_per_zone,
+                        "{last_orders:?}: {after:?}"
+                    );
                 }
             }
         }
