--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -20,7 +20,7 @@
     let mut demand = Demand {
         samples: 0,
         largest_step: 0,
-        is_whole: true,
+        is_complete: true,
     };
     for model in models {
         match fleet.demands().of(model) {
@@ -29,7 +29,7 @@
                 demand.largest_step = demand.largest_step.max(samples);
             }
             // A model without a named version is used by no trainer.
-            None => demand.is_whole &= !named.iter().any(|held| held.model == model),
+            None => demand.is_complete &= !named.iter().any(|held| held.model == model),
         }
     }
     (demand.samples > 0).then_some(demand)
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -288,7 +288,7 @@
         for (zone, requests) in join_all(asked).await {
             let mut prices = scaled.limits.zone_prices.iter();
             if let Some(at) = prices.position(|price| price.zone == *zone) {
-                zones[at].note_requests(requests, slots);
+                zones[at].record_requests(requests, slots);
             }
         }
     }
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -201,10 +201,10 @@
             price,
             listed,
             present,
-            no_on_demand: is_reducing || is_out(CapacityType::OnDemand),
-            no_spot: is_reducing || is_out(CapacityType::Spot),
+            on_demand_unavailable: is_reducing || is_out(CapacityType::OnDemand),
+            spot_unavailable: is_reducing || is_out(CapacityType::Spot),
             is_settling: is_unconfirmed || ordered.any(|held| held.is_settling(now, boot)),
-            running: 0,
+            running_requests: 0,
         }
     }
 
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -44,10 +44,10 @@
     };
     subject.order(fewer, 4, now);
     let zone = subject.view(LISTED, 1.0, now, BOOT);
-    assert!(zone.no_on_demand && zone.no_spot);
+    assert!(zone.on_demand_unavailable && zone.spot_unavailable);
     subject.note_done(CapacityType::OnDemand, now);
     let zone = subject.view(LISTED, 1.0, now, BOOT);
-    assert!(!zone.no_on_demand && !zone.no_spot);
+    assert!(!zone.on_demand_unavailable && !zone.spot_unavailable);
 }
 
 /// Guards against a successor that cannot tell confirmed orders from unconfirmed ones.
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -86,7 +86,7 @@
     /// Samples of the largest step.
     pub largest_step: u32,
     /// Whether the demand of every model is known; if false, the true demand may be higher.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// Current state of one availability zone.
@@ -99,30 +99,30 @@
     /// Listed upstreams and ordered ones that are still booting.
     pub present: Counts,
     /// No on-demand upstreams can be added now.
-    pub no_on_demand: bool,
+    pub on_demand_unavailable: bool,
     /// No spot upstreams can be added now.
-    pub no_spot: bool,
+    pub spot_unavailable: bool,
     /// The last change is too recent for a reduction.
     pub is_settling: bool,
     /// Number of requests that its upstreams report as running.
-    pub running: u32,
+    pub running_requests: u32,
 }
 
 impl Zone {
     /// Adds the requests that one upstream reports. `None` means that it did not answer: it may be
     /// busy, and counts as full, with `slots` requests.
-    pub const fn note_requests(&mut self, reported: Option<u32>, slots: u32) {
+    pub const fn record_requests(&mut self, reported: Option<u32>, slots: u32) {
         let count = match reported {
             Some(requests) => requests,
             None => slots,
         };
-        self.running = self.running.saturating_add(count);
+        self.running_requests = self.running_requests.saturating_add(count);
     }
 
     pub(crate) const fn is_unavailable(&self, capacity_type: CapacityType) -> bool {
         match capacity_type {
-            CapacityType::OnDemand => self.no_on_demand,
-            CapacityType::Spot => self.no_spot,
+            CapacityType::OnDemand => self.on_demand_unavailable,
+            CapacityType::Spot => self.spot_unavailable,
         }
     }
 
@@ -204,7 +204,7 @@
     let present: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     let needed = engines_for(demand.samples, bounds);
     let is_enough = is_enough(&present, bounds, needed);
-    if !demand.is_whole && is_enough {
+    if !demand.is_complete && is_enough {
         return Vec::new();
     }
     if !is_enough {
@@ -310,7 +310,7 @@
         let Some(capacity_type) = CAPACITY_TYPES.into_iter().find(exceeds) else {
             continue;
         };
-        let in_use = zone.running.div_ceil(bounds.slots.max(1));
+        let in_use = zone.running_requests.div_ceil(bounds.slots.max(1));
         if zone.present.total() <= in_use {
             continue;
         }
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -184,7 +184,7 @@
     fn fill_to_minimum(&mut self) {
         for at in 0..self.zones.len() {
             while self.assigned[at].total() < self.bounds.min_per_zone {
-                let capacity_type = if self.zones[at].no_spot {
+                let capacity_type = if self.zones[at].spot_unavailable {
                     CapacityType::OnDemand
                 } else {
                     CapacityType::Spot
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -51,7 +51,7 @@
     Demand {
         samples,
         largest_step,
-        is_whole: true,
+        is_complete: true,
     }
 }
 
@@ -122,10 +122,10 @@
             price: self.prices[zone],
             listed,
             present,
-            no_on_demand: is_refused(CapacityType::OnDemand),
-            no_spot: is_refused(CapacityType::Spot),
+            on_demand_unavailable: is_refused(CapacityType::OnDemand),
+            spot_unavailable: is_refused(CapacityType::Spot),
             is_settling: ordered.any(|order| order.is_settling(self.now, BOOT_TIME)),
-            running: 0,
+            running_requests: 0,
         }
     }
 
@@ -236,7 +236,7 @@
     simulation.demand = Some(Demand {
         samples: 80,
         largest_step: 80,
-        is_whole: false,
+        is_complete: false,
     });
     simulation.run(Duration::from_secs(30));
     assert!(
@@ -384,13 +384,16 @@
             on_demand: 16,
             spot: 0,
         },
-        running: 128,
+        running_requests: 128,
         ..Zone::default()
     };
     let found = orders(&[zone; 3], &BOUNDS, Some(demand(40, 40)));
     let shrinks = found.iter().any(|order| order.count < order.before);
     assert!(!shrinks, "{found:?}");
-    let idle = Zone { running: 0, ..zone };
+    let idle = Zone {
+        running_requests: 0,
+        ..zone
+    };
     let found = orders(&[idle; 3], &BOUNDS, Some(demand(40, 40)));
     assert_eq!(found.len(), 3, "one in each zone: {found:?}");
     assert!(found.iter().all(|order| order.count == 15), "{found:?}");
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -84,9 +84,9 @@
 #[test]
 fn an_upstream_without_an_answer_counts_as_full() {
     let mut zone = Zone::default();
-    zone.note_requests(None, 8);
-    zone.note_requests(Some(3), 8);
-    assert_eq!(zone.running, 11);
-    zone.note_requests(Some(u32::MAX), 8);
-    assert_eq!(zone.running, u32::MAX);
+    zone.record_requests(None, 8);
+    zone.record_requests(Some(3), 8);
+    assert_eq!(zone.running_requests, 11);
+    zone.record_requests(Some(u32::MAX), 8);
+    assert_eq!(zone.running_requests, u32::MAX);
 }
