--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -12,8 +12,8 @@
 use firweir_policy::scaling::Demand;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling::orders;
-use firweir_policy::scaling_repeats::expected;
-use firweir_policy::scaling_repeats::repeats;
+use firweir_policy::scaling_repeats::max_present;
+use firweir_policy::scaling_repeats::orders_to_repeat;
 use futures_util::future::join_all;
 use rand::Rng;
 
@@ -206,8 +206,8 @@
         };
         let listed = self.listed(&subject.service, &subject.zone);
         let last = record.last_orders();
-        subject.take_over(expected(&last, listed), listed, now);
-        for order in repeats(0, &last, listed, &self.bounds(service, limits)) {
+        subject.take_over(max_present(&last, listed), listed, now);
+        for order in orders_to_repeat(0, &last, listed, &self.bounds(service, limits)) {
             subject.order(order, listed.of(order.capacity_type), now);
         }
     }
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -11,9 +11,9 @@
 use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
-use firweir_policy::scaling::Ordered;
+use firweir_policy::scaling::PlacedOrder;
 use firweir_policy::scaling::Zone;
-use firweir_policy::scaling_repeats::LastOrder;
+use firweir_policy::scaling_repeats::RecordedOrder;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -53,14 +53,14 @@
     /// Earliest time at which it is sent.
     pub from: Instant,
     /// The order that it replaces; `None` if there was none.
-    previous: Option<Ordered>,
+    previous: Option<PlacedOrder>,
 }
 
 /// Orders of one kind of upstream in a zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Line {
     /// The last order; `None` if the list of upstreams alone counts.
-    ordered: Option<Ordered>,
+    ordered: Option<PlacedOrder>,
     /// The order that is to be sent, or sent again; `None` if all are confirmed.
     pub unconfirmed: Option<Unconfirmed>,
     /// The platform is not asked for more of this kind before this time; `None` if it may be.
@@ -115,7 +115,7 @@
             let (count, listed) = (expected.of(capacity_type), listed.of(capacity_type));
             if count > listed {
                 let at = now;
-                self.line_mut(capacity_type).ordered = Some(Ordered { count, listed, at });
+                self.line_mut(capacity_type).ordered = Some(PlacedOrder { count, listed, at });
             }
         }
     }
@@ -142,7 +142,7 @@
     pub fn order(&mut self, order: Order, listed: u32, now: Instant) {
         let line = self.line_mut(order.capacity_type);
         let previous = line.ordered;
-        line.ordered = Some(Ordered {
+        line.ordered = Some(PlacedOrder {
             count: order.count,
             listed,
             at: now,
@@ -248,7 +248,7 @@
 impl Record {
     /// The orders in the record.
     #[must_use]
-    pub fn last_orders(&self) -> Vec<LastOrder> {
+    pub fn last_orders(&self) -> Vec<RecordedOrder> {
         let on_demand = (
             CapacityType::OnDemand,
             self.on_demand,
@@ -257,7 +257,7 @@
         let spot = (CapacityType::Spot, self.spot, self.spot_unconfirmed);
         let lines = [on_demand, spot].into_iter();
         let read = |(capacity_type, count, is_unconfirmed): (CapacityType, Option<u32>, bool)| {
-            count.map(|count| LastOrder {
+            count.map(|count| RecordedOrder {
                 capacity_type,
                 count,
                 is_confirmed: !is_unconfirmed,
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -10,7 +10,7 @@
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
 use firweir_policy::scaling::Reason;
-use firweir_policy::scaling_repeats::expected;
+use firweir_policy::scaling_repeats::max_present;
 use serde_json::json;
 
 const BOOT: Duration = Duration::from_secs(4);
@@ -69,7 +69,7 @@
 fn orders_of_a_predecessor_count_while_they_boot() {
     let (now, last) = (Instant::now(), record(&json!({})));
     let mut subject = Subject::recorded(&last, 3);
-    subject.take_over(expected(&last.last_orders(), LISTED), LISTED, now);
+    subject.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
     let present = subject.view(LISTED, 1.0, now, BOOT).present;
     assert_eq!((present.on_demand, present.spot), (6, 2));
     let present = subject.view(LISTED, 1.0, now + BOOT * 2, BOOT).present;
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -162,7 +162,7 @@
 
 /// The last order that was sent for one kind in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ordered {
+pub struct PlacedOrder {
     /// Number that was ordered.
     pub count: u32,
     /// Number that the platform listed at that time.
@@ -171,7 +171,7 @@
     pub at: Instant,
 }
 
-impl Ordered {
+impl PlacedOrder {
     /// Number of running and booting upstreams of this kind, from the number listed now and the
     /// boot time.
     #[must_use]
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -13,7 +13,7 @@
 
 /// The last order for one kind, as recorded by an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LastOrder {
+pub struct RecordedOrder {
     /// Kind of upstream.
     pub capacity_type: CapacityType,
     /// Number that was ordered.
@@ -24,9 +24,14 @@
 
 /// Orders to send again in a zone. If any of them is a reduction, only reductions are returned.
 #[must_use]
-pub fn repeats(zone: usize, last: &[LastOrder], listed: Counts, bounds: &Bounds) -> Vec<Order> {
+pub fn orders_to_repeat(
+    zone: usize,
+    last: &[RecordedOrder],
+    listed: Counts,
+    bounds: &Bounds,
+) -> Vec<Order> {
     let unconfirmed = || last.iter().filter(|order| !order.is_confirmed);
-    let is_reduction = |order: &&LastOrder| order.count < listed.of(order.capacity_type);
+    let is_reduction = |order: &&RecordedOrder| order.count < listed.of(order.capacity_type);
     let reductions = unconfirmed().filter(is_reduction);
     let mut orders = Vec::new();
     let mut resulting = listed;
@@ -38,7 +43,7 @@
     if !orders.is_empty() {
         return orders;
     }
-    let mut possible = expected(last, listed);
+    let mut possible = max_present(last, listed);
     for order in unconfirmed().filter(|order| order.count > listed.of(order.capacity_type)) {
         let others = possible.total() - possible.of(order.capacity_type);
         let count = order.count.min(bounds.max_per_zone.saturating_sub(others));
@@ -53,7 +58,7 @@
 /// Largest number of upstreams of each kind that may be running or booting: an order that is not
 /// confirmed may still have been carried out.
 #[must_use]
-pub fn expected(last: &[LastOrder], listed: Counts) -> Counts {
+pub fn max_present(last: &[RecordedOrder], listed: Counts) -> Counts {
     let mut counts = listed;
     for capacity_type in CAPACITY_TYPES {
         let of_kind = last
@@ -69,7 +74,7 @@
     orders: &mut Vec<Order>,
     resulting: &mut Counts,
     zone: usize,
-    last: LastOrder,
+    last: RecordedOrder,
     count: u32,
 ) {
     let before = resulting.of(last.capacity_type);
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -9,7 +9,7 @@
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Demand;
 use firweir_policy::scaling::Order;
-use firweir_policy::scaling::Ordered;
+use firweir_policy::scaling::PlacedOrder;
 use firweir_policy::scaling::Zone;
 use firweir_policy::scaling::orders;
 
@@ -36,7 +36,7 @@
     prices: [f64; 3],
     /// Zones and kinds for which the platform refuses to add upstreams (409).
     exhausted: Vec<(usize, CapacityType)>,
-    ordered: [[Option<Ordered>; 2]; 3],
+    ordered: [[Option<PlacedOrder>; 2]; 3],
     refused: [[Option<Instant>; 2]; 3],
     demand: Option<Demand>,
     sent_orders: Vec<(Duration, Order)>,
@@ -137,7 +137,7 @@
             self.refused[zone][index_of(capacity_type)] = Some(self.now);
             return;
         }
-        self.ordered[zone][index_of(capacity_type)] = Some(Ordered {
+        self.ordered[zone][index_of(capacity_type)] = Some(PlacedOrder {
             count: order.count,
             listed: self.count(zone, capacity_type),
             at: self.now,
@@ -403,7 +403,7 @@
 #[test]
 fn ordered_upstreams_count_until_they_are_listed() {
     let now = Instant::now();
-    let ordered = Ordered {
+    let ordered = PlacedOrder {
         count: 10,
         listed: 4,
         at: now,
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -5,8 +5,8 @@
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
 use firweir_policy::scaling::Zone;
-use firweir_policy::scaling_repeats::LastOrder;
-use firweir_policy::scaling_repeats::repeats;
+use firweir_policy::scaling_repeats::RecordedOrder;
+use firweir_policy::scaling_repeats::orders_to_repeat;
 
 const BOUNDS: Bounds = Bounds {
     min_per_zone: 2,
@@ -20,16 +20,16 @@
     spot: 2,
 };
 
-const fn last_order(capacity_type: CapacityType, count: u32, is_confirmed: bool) -> LastOrder {
-    LastOrder {
+const fn last_order(capacity_type: CapacityType, count: u32, is_confirmed: bool) -> RecordedOrder {
+    RecordedOrder {
         capacity_type,
         count,
         is_confirmed,
     }
 }
 
-fn repeated(last_orders: &[LastOrder], listed: Counts) -> Vec<(CapacityType, u32)> {
-    let found = repeats(0, last_orders, listed, &BOUNDS);
+fn repeated(last_orders: &[RecordedOrder], listed: Counts) -> Vec<(CapacityType, u32)> {
+    let found = orders_to_repeat(0, last_orders, listed, &BOUNDS);
     let numbers = found
         .iter()
         .map(|order: &Order| (order.capacity_type, order.count));
