--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::scaling_targets::additions;
-use crate::scaling_targets::filled;
+use crate::scaling_targets::filled_to_minimum;
 use crate::scaling_targets::targets;
+use crate::scaling_targets::targets_with_present;
 
 /// Upstreams are replaced only if the new total cost is at most this part of the present one: until
 /// a new upstream serves, both are paid for.
@@ -199,16 +199,21 @@
 #[must_use]
 pub fn orders(zones: &[Zone], bounds: &Bounds, demand: Option<Demand>) -> Vec<Order> {
     let Some(demand) = demand else {
-        return growth_orders(zones, bounds, &filled(zones, bounds), u32::MAX);
+        return growth_orders(zones, bounds, &filled_to_minimum(zones, bounds), u32::MAX);
     };
     let present: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
-    let needed = engines_for(demand.samples, bounds);
+    let needed = upstreams_needed(demand.samples, bounds);
     let is_enough = is_enough(&present, bounds, needed);
     if !demand.is_complete && is_enough {
         return Vec::new();
     }
     if !is_enough {
-        return growth_orders(zones, bounds, &additions(zones, bounds, demand), u32::MAX);
+        return growth_orders(
+            zones,
+            bounds,
+            &targets_with_present(zones, bounds, demand),
+            u32::MAX,
+        );
     }
     if zones.iter().any(Zone::is_changing) {
         return Vec::new();
@@ -233,7 +238,7 @@
     costs.sum()
 }
 
-pub(crate) fn engines_for(samples: u32, bounds: &Bounds) -> u32 {
+pub(crate) fn upstreams_needed(samples: u32, bounds: &Bounds) -> u32 {
     samples.div_ceil(bounds.slots.max(1))
 }
 
@@ -243,7 +248,7 @@
 }
 
 /// Upstreams that remain if the zone with the most spot upstreams loses all of them.
-pub(crate) fn covered(counts: &[Counts]) -> u32 {
+pub(crate) fn left_after_zone_loss(counts: &[Counts]) -> u32 {
     let lost = counts.iter().map(|zone_counts| zone_counts.spot).max();
     total(counts) - lost.unwrap_or_default()
 }
@@ -252,7 +257,7 @@
     let has_minimum = counts
         .iter()
         .all(|zone_counts| zone_counts.total() >= bounds.min_per_zone);
-    has_minimum && covered(counts) >= needed
+    has_minimum && left_after_zone_loss(counts) >= needed
 }
 
 /// Orders that raise zones to their targets, by at most `max_added` upstreams per kind and zone.
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -10,9 +10,9 @@
 use crate::scaling::Demand;
 use crate::scaling::Zone;
 use crate::scaling::cost;
-use crate::scaling::covered;
-use crate::scaling::engines_for;
+use crate::scaling::left_after_zone_loss;
 use crate::scaling::total;
+use crate::scaling::upstreams_needed;
 
 /// Factor on the price of an existing upstream, so that small price changes do not replace
 /// upstreams.
@@ -27,14 +27,14 @@
 
 /// Cheapest numbers that meet the demand if all present upstreams stay.
 #[must_use]
-pub fn additions(zones: &[Zone], bounds: &Bounds, demand: Demand) -> Vec<Counts> {
+pub fn targets_with_present(zones: &[Zone], bounds: &Bounds, demand: Demand) -> Vec<Counts> {
     let present: Vec<Counts> = zones.iter().map(|zone| zone.present).collect();
     cheapest(zones, bounds, demand, &present)
 }
 
 /// Present upstreams, with zones filled up to their minimum.
 #[must_use]
-pub fn filled(zones: &[Zone], bounds: &Bounds) -> Vec<Counts> {
+pub fn filled_to_minimum(zones: &[Zone], bounds: &Bounds) -> Vec<Counts> {
     let mut assignment = Assignment {
         zones,
         bounds,
@@ -49,8 +49,8 @@
 /// expensive. Tries every number of zones, and on-demand upstreams alone, and returns the cheapest
 /// of the options that cover the most demand.
 fn cheapest(zones: &[Zone], bounds: &Bounds, demand: Demand, initial: &[Counts]) -> Vec<Counts> {
-    let needed = engines_for(demand.samples, bounds);
-    let on_demand_base = engines_for(demand.largest_step, bounds).min(needed);
+    let needed = upstreams_needed(demand.samples, bounds);
+    let on_demand_base = upstreams_needed(demand.largest_step, bounds).min(needed);
     let spot_options = (2..=zones.len().max(2)).map(|zone_count| Some(zone_count as u32));
     let options = spot_options.chain([None]).map(|spot_zones| {
         let mut assignment = Assignment {
@@ -62,7 +62,7 @@
         assignment.assign_all(needed, on_demand_base);
         assignment.assigned
     });
-    let covers = |counts: &[Counts]| covered(counts).min(needed);
+    let covers = |counts: &[Counts]| left_after_zone_loss(counts).min(needed);
     let best = options.min_by(|a, b| {
         let by_cost = || cost(a, zones, bounds).total_cmp(&cost(b, zones, bounds));
         covers(b).cmp(&covers(a)).then_with(by_cost)
@@ -92,7 +92,7 @@
         if self.spot_zones.is_some() {
             self.cover_with_spot(needed);
         }
-        while covered(&self.assigned) < needed && self.add(CapacityType::OnDemand) {}
+        while left_after_zone_loss(&self.assigned) < needed && self.add(CapacityType::OnDemand) {}
         while self.spot_zones.is_some() && self.total() < needed && self.add(CapacityType::Spot) {}
         self.fill_to_minimum();
     }
@@ -164,16 +164,16 @@
     /// Drops trailing additions that do not raise that number.
     fn cover_with_spot(&mut self, needed: u32) {
         let mut best = self.assigned.clone();
-        let mut best_covered = covered(&best);
+        let mut best_left = left_after_zone_loss(&best);
         let mut additions_without_gain = 0;
-        while best_covered < needed
+        while best_left < needed
             && additions_without_gain <= self.zones.len()
             && self.add(CapacityType::Spot)
         {
-            let covered_now = covered(&self.assigned);
+            let left_now = left_after_zone_loss(&self.assigned);
             additions_without_gain += 1;
-            if covered_now > best_covered {
-                best_covered = covered_now;
+            if left_now > best_left {
+                best_left = left_now;
                 additions_without_gain = 0;
                 best.clone_from(&self.assigned);
             }
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -194,7 +194,7 @@
     }
 
     /// Upstreams that remain if the zone with the most spot upstreams loses all of them.
-    fn covered(&self) -> u32 {
+    fn left_after_zone_loss(&self) -> u32 {
         let most = (0..3)
             .map(|zone| self.count(zone, CapacityType::Spot))
             .max();
@@ -275,10 +275,18 @@
     let mut simulation = Simulation::new(8, [1.0, 1.1, 1.3]);
     simulation.demand = Some(demand(100, 190));
     simulation.run(Duration::from_secs(60));
-    assert!(simulation.covered() >= 24, "{}", simulation.covered());
+    assert!(
+        simulation.left_after_zone_loss() >= 24,
+        "{}",
+        simulation.left_after_zone_loss()
+    );
     simulation.demand = Some(demand(200, 380));
     simulation.run(BOOT_TIME + TICK * 2);
-    assert!(simulation.covered() >= 48, "{}", simulation.covered());
+    assert!(
+        simulation.left_after_zone_loss() >= 48,
+        "{}",
+        simulation.left_after_zone_loss()
+    );
     assert!(
         no_zone_exceeds_half(&simulation),
         "a zone has more than half"
@@ -293,7 +301,11 @@
         simulation.total()
     );
     simulation.run(Duration::from_secs(120));
-    assert!(simulation.covered() >= 24, "{}", simulation.covered());
+    assert!(
+        simulation.left_after_zone_loss() >= 24,
+        "{}",
+        simulation.left_after_zone_loss()
+    );
     assert!(
         simulation.total() < before - 10,
         "{} of {before}",
@@ -324,7 +336,11 @@
         simulation.serving()
     );
     simulation.run(BOOT_TIME + TICK * 2);
-    assert!(simulation.covered() >= 48, "{}", simulation.covered());
+    assert!(
+        simulation.left_after_zone_loss() >= 48,
+        "{}",
+        simulation.left_after_zone_loss()
+    );
 }
 
 /// Guards against repeated orders in a zone that has no spot upstreams left, while other
@@ -335,7 +351,11 @@
     simulation.exhausted = vec![(0, CapacityType::Spot)];
     simulation.demand = Some(demand(200, 380));
     simulation.run(BOOT_TIME + TICK * 3);
-    assert!(simulation.covered() >= 48, "{:?}", simulation.sent_orders);
+    assert!(
+        simulation.left_after_zone_loss() >= 48,
+        "{:?}",
+        simulation.sent_orders
+    );
     let asked = simulation.sent_orders.iter().filter(|(_, order)| {
         order.zone == 0 && order.capacity_type == CapacityType::Spot && order.count > order.before
     });
