--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -40,8 +40,8 @@
 /// slow. After that this node looks for another one.
 const HOME_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// When a trainer may retry a submission that was not stored: store outages last seconds, and
-/// the retry is at most a second late after one.
+/// Delay after which a trainer may retry a submission that was not stored: store outages last
+/// seconds, and the retry is at most a second late after one.
 const SUBMIT_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// A client's request that submits a step.
@@ -123,7 +123,7 @@
         answer
     }
 
-    /// Makes a node the home of a model, in a task of its own to not delay the answer.
+    /// Makes a node the home of a model, in a task of its own so as not to delay the answer.
     fn assign_home(&self, model: &str, home: NodeRef, samples: u32) {
         let (homes, model) = (self.shared.homes.clone(), model.to_owned());
         drop(tokio::spawn(async move {
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -24,7 +24,7 @@
 use crate::submission::manager::SubmissionManager;
 
 /// Least time between reads of a head for questions that other nodes forwarded by mistake: a
-/// client asks twice a second, and each read is a charged call.
+/// client asks twice a second, and each read costs a call of the store.
 const HEAD_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Attempts to reach a runner, or to change a head that other nodes change concurrently.
@@ -218,10 +218,10 @@
     ) -> Option<Response<Body>> {
         let homes = self.shared.homes.nodes().into_iter();
         let others = homes.filter(|home| *home != self.shared.this_node);
-        let mut asked: FuturesUnordered<_> = others
+        let mut answers: FuturesUnordered<_> = others
             .map(|home| self.shared.runners.forward(home.address, question, call))
             .collect();
-        while let Some(answer) = asked.next().await {
+        while let Some(answer) = answers.next().await {
             if let Ok(answer) = answer
                 && !matches!(
                     answer.status(),
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -95,7 +95,7 @@
         assignments.collect()
     }
 
-    /// Applies a change of the duties in the store. Homes are never removed.
+    /// Applies a change of the duties in the store. Removals are ignored.
     pub fn apply(&self, change: Change) {
         match change {
             Change::All(objects) => objects.iter().for_each(|object| self.put(object)),
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -49,7 +49,7 @@
 /// the submission.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Delay after a failed write. Store outages last seconds, and refused calls are charged too.
+/// Delay after a failed write: store outages last seconds, and refused calls cost too.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Size limit of a page of results. A trainer polls an open step twice a second and needs
@@ -104,7 +104,7 @@
     /// Texts of items that an earlier runner saved, sorted by item.
     saved: Mutex<Vec<(String, SampleProgress)>>,
     saved_record_count: AtomicUsize,
-    /// When the head was last read, for the start of samples.
+    /// When the head was last read; samples start only after a recent read.
     pub head_view: HeadView,
     results_listed: Notify,
     results_pending: Notify,
@@ -537,7 +537,7 @@
         }
     }
 
-    /// Lists the results of a chunk, unless that is known already.
+    /// Lists the results of a chunk of the log, unless they are listed already.
     fn append(&self, number: usize, results: Vec<ItemResult>) {
         let mut state = self.lock();
         if state.chunks != number {
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -54,7 +54,7 @@
 use crate::submission::runners::Runners;
 use crate::submission::text_saver::TextSaver;
 
-/// When a client may retry a question that this node could not have answered.
+/// Delay after which a client may retry a question that could not be answered.
 pub(in crate::submission) const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// How long after a read of the head a runner may answer that nothing is listed. Results that
@@ -315,10 +315,10 @@
     /// since.
     ///
     /// A runner that was paused continues until its next read of the head, and may list
-    /// results after another node has read the log. Once the submission has ended, that node
-    /// writes no chunk that would collide with them, so it would show less than the trainer
-    /// has read for good. Hence a node that did not accept the submission itself reads the log
-    /// again before it gives an empty page.
+    /// results after its successor has read the log. If the submission has ended, the successor
+    /// writes no chunk that would collide with them, so it would never notice them and show
+    /// less than the trainer has read. Hence a node that did not accept the submission itself
+    /// reads the log again before it gives an empty page.
     async fn confirm_log(&self, submission: &LocalSubmission) -> Result<bool, StoreError> {
         let is_runner = self.confirm_runner(submission).await?;
         if is_runner && submission.had_previous_runner() {
@@ -366,6 +366,7 @@
         answer
     }
 
+    /// Answers a question about a submission that this node runs.
     pub(in crate::submission) async fn answer(
         &self,
         submission: &Arc<LocalSubmission>,
@@ -477,6 +478,8 @@
         Ok(submission)
     }
 
+    /// Starts to run a submission, or only to answer for it if it has ended; does nothing if it
+    /// was started before.
     pub(in crate::submission) fn start(&self, submission: Arc<LocalSubmission>) {
         let mut state = self.lock();
         let found = state
@@ -513,6 +516,7 @@
         }
     }
 
+    /// Stops generating samples of a submission that has ended.
     pub(in crate::submission) fn stop(&self, submission: &Arc<LocalSubmission>) {
         submission.end();
         self.shared.drafting.remove(&submission.id);
@@ -530,6 +534,7 @@
             .event("submission_let_go", &[("submission", &submission.id)]);
     }
 
+    /// Returns a submission if this node has loaded or accepted it.
     pub(in crate::submission) fn find_local(&self, id: &str) -> Option<Arc<LocalSubmission>> {
         let state = self.lock();
         let at = state
@@ -546,6 +551,7 @@
         self.lock().accepting.iter().any(|other| other.id == id)
     }
 
+    /// Returns the acceptance of a submission that is in progress, or begins it.
     pub(in crate::submission) fn begin_acceptance(&self, id: &str) -> AcceptanceEntry {
         let mut state = self.lock();
         if let Some(pending) = state.accepting.iter().find(|other| other.id == id) {
