--- a/crates/policy/tests/relist.rs
+++ b/crates/policy/tests/relist.rs
@@ -1,4 +1,4 @@
-//! Load that a fleet puts on a store after an outage.
+//! Load of a fleet on the store after an outage of the store.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,16 +8,16 @@
 use firweir_policy::relist::ListCost;
 use firweir_policy::relist::RelistTimer;
 
-/// Entries of an upstream list of the largest fleet.
+/// Number of entries in the upstream list of the largest fleet.
 const ENTRIES: usize = 10_000;
 
-/// Pages of that list.
+/// Number of pages of that list.
 const PAGES: u64 = 50;
 
-/// Interval at which a node polls its seeds.
-const PAUSE_MS: u64 = 700;
+/// Interval at which a node polls its seed nodes.
+const POLL_INTERVAL_MS: u64 = 700;
 
-/// Reads that the store serves per second; others queue, and time out after a second.
+/// Reads that the store serves per second; further reads queue, and time out after a second.
 const READS_PER_S: f64 = 16_000.0;
 
 struct Case {
@@ -27,73 +27,75 @@
 }
 
 struct Outcome {
+    /// Number of calls to the store.
     calls: u64,
+    /// Time at which all nodes are up to date.
     up_to_date_ms: u64,
 }
 
-/// Simulates nodes with outdated lists that poll three seeds. The store is unavailable from
-/// time 0 until the end of the outage, when the seeds list first. Lists are served one after
-/// the other at the store's rate. `cost` of `None` lets nodes list without a wait.
-fn play(case: &Case, cost: Option<ListCost>) -> Outcome {
+/// Simulates nodes with outdated lists that poll three seed nodes. The store is unavailable from
+/// time 0 until the end of the outage, when the seed nodes list first. Lists are served one after
+/// the other at the store's rate. With a `cost` of `None`, nodes list without a wait.
+fn simulate(case: &Case, cost: Option<ListCost>) -> Outcome {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let spread = cost.and_then(|cost| cost.jitter_window());
-    let mut relists = vec![RelistTimer::default(); case.nodes];
+    let window = cost.and_then(|cost| cost.jitter_window());
+    let mut timers = vec![RelistTimer::default(); case.nodes];
     let mut events: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
-    let mut random = 7_u64;
-    let mut part = || {
-        random = random
+    let mut state = 7_u64;
+    let mut random = || {
+        state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        (random >> 11) as f64 / (1_u64 << 53) as f64
+        (state >> 11) as f64 / (1_u64 << 53) as f64
     };
     for node in 0..case.nodes {
-        let first = (part() * PAUSE_MS as f64) as u64;
-        events.push(Reverse((first, node)));
+        let first_ms = (random() * POLL_INTERVAL_MS as f64) as u64;
+        events.push(Reverse((first_ms, node)));
     }
-    // Lists of seeds queue at the store like all others.
+    // Lists of seed nodes queue at the store like all others.
     let mut busy_until_ms = case.outage_ms;
-    let mut seeds_at_ms = None;
+    let mut seeds_ready_ms = None;
     let mut outcome = Outcome {
         calls: 0,
         up_to_date_ms: 0,
     };
     let list_ms = (PAGES as f64 / READS_PER_S * 1_000.0).ceil() as u64;
-    while let Some(Reverse((now, node))) = events.pop() {
-        if now >= case.outage_ms && seeds_at_ms.is_none() {
+    while let Some(Reverse((now_ms, node))) = events.pop() {
+        if now_ms >= case.outage_ms && seeds_ready_ms.is_none() {
             busy_until_ms += 3 * list_ms;
-            seeds_at_ms = Some(busy_until_ms);
+            seeds_ready_ms = Some(busy_until_ms);
             outcome.calls += 3 * PAGES;
         }
-        if seeds_at_ms.is_some_and(|ready| now >= ready) {
-            outcome.up_to_date_ms = outcome.up_to_date_ms.max(now);
+        if seeds_ready_ms.is_some_and(|ready_ms| now_ms >= ready_ms) {
+            outcome.up_to_date_ms = outcome.up_to_date_ms.max(now_ms);
             continue;
         }
-        if !relists[node].is_due(at(now), spread, part()) {
-            events.push(Reverse((now + PAUSE_MS, node)));
+        if !timers[node].is_due(at(now_ms), window, random()) {
+            events.push(Reverse((now_ms + POLL_INTERVAL_MS, node)));
             continue;
         }
-        if now < case.outage_ms {
+        if now_ms < case.outage_ms {
             outcome.calls += 1;
-            events.push(Reverse((now + PAUSE_MS, node)));
+            events.push(Reverse((now_ms + POLL_INTERVAL_MS, node)));
             continue;
         }
-        // A page that waits longer than the timeout of a call fails, and the list with it.
-        let wait = busy_until_ms.saturating_sub(now);
-        if wait > 1_000 {
+        // A page that queues for longer than the timeout of a call fails, and the list with it.
+        let wait_ms = busy_until_ms.saturating_sub(now_ms);
+        if wait_ms > 1_000 {
             outcome.calls += 1;
-            events.push(Reverse((now + 1_000 + PAUSE_MS, node)));
+            events.push(Reverse((now_ms + 1_000 + POLL_INTERVAL_MS, node)));
             continue;
         }
-        busy_until_ms = busy_until_ms.max(now) + list_ms;
+        busy_until_ms = busy_until_ms.max(now_ms) + list_ms;
         outcome.calls += PAGES;
         outcome.up_to_date_ms = outcome.up_to_date_ms.max(busy_until_ms);
     }
     outcome
 }
 
-/// Guards against a fleet that lists all upstreams from a store that comes back: its rate is
-/// used up for seconds, and steps of trainers are neither accepted nor read.
+/// Guards against a fleet that lists all upstreams when the store is available again: this exhausts
+/// its rate for seconds, in which steps of trainers are neither accepted nor read.
 #[test]
 fn a_store_that_comes_back_is_not_listed_by_the_whole_fleet() {
     let cases = [
@@ -124,8 +126,8 @@
             entries: ENTRIES,
             reads_per_s: READS_PER_S,
         };
-        let with = play(case, Some(cost));
-        let without = play(case, None);
+        let with = simulate(case, Some(cost));
+        let without = simulate(case, None);
         let name = case.name;
         assert!(with.calls < 6_000, "{name}: {} calls", with.calls);
         let late_ms = with.up_to_date_ms - case.outage_ms;
@@ -139,9 +141,9 @@
     }
 }
 
-/// Guards against a needless wait in a small fleet, where all nodes can list at once.
+/// Guards against an unnecessary wait in a small fleet, where all nodes can list at the same time.
 #[test]
-fn lists_of_a_small_fleet_are_no_burden() {
+fn a_small_fleet_lists_without_a_wait() {
     let cost = ListCost {
         nodes: 80,
         entries: 60,
@@ -151,20 +153,20 @@
     assert!(RelistTimer::default().is_due(Instant::now(), cost.jitter_window(), 0.9));
 }
 
-/// Guards against nodes that list all upstreams again and again while the store is slow: a
-/// list that was due begins a new wait.
+/// Guards against nodes that list all upstreams repeatedly while the store is slow: a list that was
+/// due starts a new wait.
 #[test]
 fn a_list_that_failed_waits_anew() {
     let now = Instant::now();
-    let spread = Some(Duration::from_secs(30));
-    let mut relist = RelistTimer::default();
-    assert!(!relist.is_due(now, spread, 0.1));
+    let window = Some(Duration::from_secs(30));
+    let mut timer = RelistTimer::default();
+    assert!(!timer.is_due(now, window, 0.1));
     let later = now + Duration::from_secs(3);
-    assert!(relist.is_due(later, spread, 0.5));
-    assert!(!relist.is_due(later, spread, 0.5));
-    relist.cancel();
+    assert!(timer.is_due(later, window, 0.5));
+    assert!(!timer.is_due(later, window, 0.5));
+    timer.cancel();
     assert!(
-        !relist.is_due(later + Duration::from_secs(20), spread, 0.5),
-        "the wait began anew"
+        !timer.is_due(later + Duration::from_secs(20), window, 0.5),
+        "a new wait started"
     );
 }
--- a/crates/policy/tests/slack.rs
+++ b/crates/policy/tests/slack.rs
@@ -128,7 +128,7 @@
 /// Guards against overestimating the hinted lengths because samples without a hint lower the mean
 /// of the hints.
 #[test]
-fn the_mean_of_hints_ignores_samples_without_one() {
+fn only_hints_count_in_the_mean_of_hints() {
     let mut mixed = LengthEstimator::default();
     mixed.record_step([0, 21 * 16, 0].into_iter());
     let hinted = lengths().remaining_events(21 * 16, 0);
--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -304,7 +304,7 @@
 /// Guards against reported figures that never change or are implausible: they must not move more
 /// samples than correct figures may, and no sample twice.
 #[test]
-fn implausible_figures_move_few_samples() {
+fn absurd_figures_move_few_samples() {
     for percent in [0, 250, 90_000] {
         let mut simulation = Simulation::new(0, BY_TURNS, Reports::Fixed(percent));
         let (cut, step) = simulation.run();
@@ -321,7 +321,7 @@
 /// Guards against samples that stay on an engine that is permanently slow and does not report it,
 /// and against samples that are moved more than once.
 #[test]
-fn long_samples_leave_a_permanently_slow_engine_once() {
+fn long_samples_leave_a_lastingly_slow_engine_once() {
     let mut simulation = Simulation::new(0, BY_TURNS, Reports::Truth);
     simulation.slowdown = Some((3, 1_000, 3.5));
     let (cut, step) = simulation.run();
--- a/crates/policy/tests/write_batching.rs
+++ b/crates/policy/tests/write_batching.rs
@@ -1,4 +1,4 @@
-//! When samples that are done are written to the log of their step.
+//! Batching of the writes of finished samples to the log of their step.
 
 use std::time::Duration;
 
@@ -12,47 +12,48 @@
     wait_ms: u64,
 }
 
-/// A trainer waits for 18 of 20 groups of a step that is due in 7.5 s.
+/// Guards against writes of single groups that the trainer does not wait for yet. It waits for 18
+/// of 20 groups of a step that is due in 7.5 s.
 #[test]
 fn only_what_a_trainer_waits_for_is_written_at_once() {
     let cases = [
         Case {
-            name: "an early group waits for others",
+            name: "an early group is delayed",
             completes_group: true,
             complete_groups: 3,
             age_ms: 1_500,
             wait_ms: 1_000,
         },
         Case {
-            name: "single samples wait too",
+            name: "single samples are delayed",
             completes_group: false,
             complete_groups: 0,
             age_ms: 500,
             wait_ms: 1_000,
         },
         Case {
-            name: "the last group that is waited for goes at once",
+            name: "the last group that the trainer waits for is written at once",
             completes_group: true,
             complete_groups: 18,
             age_ms: 3_000,
             wait_ms: 0,
         },
         Case {
-            name: "what is whole shortly before the step is due is there as it is due",
+            name: "groups complete shortly before the due time are written by then",
             completes_group: true,
             complete_groups: 12,
             age_ms: 6_300,
             wait_ms: 1_000,
         },
         Case {
-            name: "a group that is later goes at once",
+            name: "a group complete just before the due time is written at once",
             completes_group: true,
             complete_groups: 12,
             age_ms: 7_400,
             wait_ms: 0,
         },
         Case {
-            name: "single samples make no trainer go on",
+            name: "late single samples are delayed",
             completes_group: false,
             complete_groups: 12,
             age_ms: 8_000,
@@ -76,94 +77,98 @@
     }
 }
 
-/// The groups of a step of twenty become whole one by one over 7 s. Written one by one
-/// they took 20 calls of the store; the trainer got its last group no sooner by that.
+/// Guards against a write for each group: the 20 groups of a step are completed one by one over
+/// 7 s. Separate writes took 20 calls to the store, and the trainer did not get its last group any
+/// sooner.
 #[test]
-fn the_writes_of_a_step() {
+fn groups_share_writes() {
     let mut writes = 0;
-    let mut oldest: Option<u64> = None;
+    let mut oldest_ms: Option<u64> = None;
     for now_ms in (0..7_500).step_by(10) {
-        let whole = now_ms / 350;
-        if now_ms % 350 == 0 && whole > 0 {
-            oldest.get_or_insert(now_ms as u64);
+        let complete_groups = now_ms / 350;
+        if now_ms % 350 == 0 && complete_groups > 0 {
+            oldest_ms.get_or_insert(now_ms as u64);
         }
         let unwritten = UnwrittenResults {
             completes_group: true,
-            complete_groups: whole,
+            complete_groups,
             target_groups: 18,
-            age: Duration::from_millis(oldest.unwrap_or(now_ms as u64)),
+            age: Duration::from_millis(oldest_ms.unwrap_or(now_ms as u64)),
             due: Duration::from_millis(7_500),
         };
-        let waited = oldest.map(|since| Duration::from_millis(now_ms as u64 - since));
+        let waited = oldest_ms.map(|since_ms| Duration::from_millis(now_ms as u64 - since_ms));
         if waited.is_some_and(|waited| waited >= unwritten.write_delay()) {
             writes += 1;
-            oldest = None;
+            oldest_ms = None;
         }
     }
     assert!(writes <= 10, "{writes} writes");
 }
 
-/// A trainer asks each half second, and its question is kept waiting for a second while
-/// there is nothing.
-const ASKS_EVERY_MS: u64 = 500;
+/// Interval at which a trainer polls.
+const POLL_INTERVAL_MS: u64 = 500;
 
-const KEPT_WAITING_MS: u64 = 1_000;
+/// Maximum time for which a poll blocks while there are no new results.
+const MAX_POLL_WAIT_MS: u64 = 1_000;
 
-/// When a trainer has all of `needed` samples, of which `listed` tells the times of the
-/// writes: sorted, with the number of samples that are listed then.
-fn goes_on_ms(listed: &[(u64, usize)], needed: usize) -> u64 {
-    let mut asked = 0;
+/// Time at which a trainer continues with all of `needed` samples. `writes` holds the time of each
+/// write and the number of samples written by then, sorted by time.
+fn continues_ms(writes: &[(u64, usize)], needed: usize) -> u64 {
+    let mut polled_ms = 0;
     let mut read = 0;
     loop {
-        let news = listed.iter().find(|(_, count)| *count > read);
-        let (at, _) = *news.expect("all samples are listed");
-        let answered = at.clamp(asked, asked + KEPT_WAITING_MS);
-        let there = listed.iter().filter(|(at, _)| *at <= answered);
-        read = there.map(|(_, count)| *count).max().unwrap_or(read);
-        let next = answered.max(asked + ASKS_EVERY_MS);
+        let first_new = writes.iter().find(|(_, count)| *count > read);
+        let (write_ms, _) = *first_new.expect("all samples are written");
+        let answered_ms = write_ms.clamp(polled_ms, polled_ms + MAX_POLL_WAIT_MS);
+        let readable = writes
+            .iter()
+            .filter(|(write_ms, _)| *write_ms <= answered_ms);
+        read = readable.map(|(_, count)| *count).max().unwrap_or(read);
+        let next_ms = answered_ms.max(polled_ms + POLL_INTERVAL_MS);
         if read >= needed {
-            return next;
+            return next_ms;
         }
-        asked = next;
+        polled_ms = next_ms;
     }
 }
 
-/// Guards against a last group that is written after its trainer has asked in vain.
+/// Guards against a last group that is written just after a poll of its trainer was answered
+/// without it.
 #[test]
 fn a_trainer_has_its_last_group_soon() {
     let mut late_ms = 0;
     let steps = 40;
     for step in 0..steps {
-        // Samples that make nothing whole end every 150 ms, the last group that is waited
-        // for some time after 6 s.
-        let whole_ms = 6_000 + step * 30;
-        let mut listed = Vec::new();
-        let mut oldest: Option<u64> = None;
-        let mut done = 0;
-        for now_ms in (0..=whole_ms).step_by(10) {
-            if now_ms % 150 == 0 || now_ms == whole_ms {
-                done += 1;
-                oldest.get_or_insert(now_ms);
+        // Samples that complete no group end every 150 ms; the last group that the trainer waits
+        // for is complete some time after 6 s.
+        let complete_ms = 6_000 + step * 30;
+        let mut writes = Vec::new();
+        let mut oldest_ms: Option<u64> = None;
+        let mut finished = 0;
+        for now_ms in (0..=complete_ms).step_by(10) {
+            if now_ms % 150 == 0 || now_ms == complete_ms {
+                finished += 1;
+                oldest_ms.get_or_insert(now_ms);
             }
-            let Some(since) = oldest else {
+            let Some(since_ms) = oldest_ms else {
                 continue;
             };
-            let is_whole = now_ms == whole_ms;
+            let is_complete = now_ms == complete_ms;
             let unwritten = UnwrittenResults {
-                completes_group: is_whole,
-                complete_groups: if is_whole { 18 } else { 17 },
+                completes_group: is_complete,
+                complete_groups: if is_complete { 18 } else { 17 },
                 target_groups: 18,
-                age: Duration::from_millis(since),
+                age: Duration::from_millis(since_ms),
                 due: Duration::from_millis(7_500),
             };
-            if Duration::from_millis(now_ms - since) >= unwritten.write_delay() {
-                listed.push((now_ms, done));
-                oldest = None;
+            if Duration::from_millis(now_ms - since_ms) >= unwritten.write_delay() {
+                writes.push((now_ms, finished));
+                oldest_ms = None;
             }
         }
-        late_ms += goes_on_ms(&listed, done) - whole_ms;
+        late_ms += continues_ms(&writes, finished) - complete_ms;
     }
     let mean_ms = late_ms / steps;
-    // What a trainer loses to its own questions where nothing is held for them.
-    assert!(mean_ms <= ASKS_EVERY_MS / 2, "{mean_ms} ms");
+    // Mean delay caused by the poll interval alone.
+    assert!(mean_ms <= POLL_INTERVAL_MS / 2, "{mean_ms} ms");
 }
