--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -840,7 +840,7 @@
         score
     }
 
-    /// Records how long work takes on its VM at the moment, in percent of the usual time.
+    /// Records a report of how long work takes on its VM, in percent of the undisturbed time.
     fn record_speed(&mut self, now: Instant, percent: u32) {
         let speed = self
             .speed
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -1,4 +1,4 @@
-//! Decides how many upstreams of a service to order, of which kind and in which availability zone.
+//! Decides how many upstreams of a service to order, by capacity type and availability zone.
 //!
 //! Demand changes, prices differ by zone, and the platform may reclaim the spot upstreams of a
 //! whole zone at once. [`crate::scaling_targets`] derives target numbers from the demand. Missing
@@ -28,10 +28,10 @@
     Spot,
 }
 
-/// Both kinds, on-demand first because it costs more.
+/// Both capacity types, on-demand first because it costs more.
 pub const CAPACITY_TYPES: [CapacityType; 2] = [CapacityType::OnDemand, CapacityType::Spot];
 
-/// Number of upstreams of each kind.
+/// Number of upstreams of each capacity type.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// On-demand upstreams.
@@ -41,7 +41,7 @@
 }
 
 impl Counts {
-    /// Number of one kind.
+    /// Number of one type.
     #[must_use]
     pub const fn of(self, capacity_type: CapacityType) -> u32 {
         match capacity_type {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Mutable reference to the number of one kind.
+    /// Mutable reference to the number of one type.
     pub const fn of_mut(&mut self, capacity_type: CapacityType) -> &mut u32 {
         match capacity_type {
             CapacityType::OnDemand => &mut self.on_demand,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Number of both kinds.
+    /// Number of both types.
     #[must_use]
     pub const fn total(self) -> u32 {
         self.on_demand.saturating_add(self.spot)
@@ -68,9 +68,9 @@
 /// Scaling limits of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Minimum number of upstreams per zone, both kinds together.
+    /// Minimum number of upstreams per zone, both types together.
     pub min_per_zone: u32,
-    /// Maximum number of upstreams per zone, both kinds together.
+    /// Maximum number of upstreams per zone, both types together.
     pub max_per_zone: u32,
     /// Number of requests that an upstream runs concurrently.
     pub slots: u32,
@@ -145,12 +145,12 @@
     Repeated,
 }
 
-/// An order that sets the number of upstreams of one kind in one zone.
+/// An order that sets the number of upstreams of one capacity type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
     /// Index of the zone.
     pub zone: usize,
-    /// Kind of upstream.
+    /// Type of the upstreams.
     pub capacity_type: CapacityType,
     /// Number that the zone is to have.
     pub count: u32,
@@ -160,7 +160,7 @@
     pub reason: Reason,
 }
 
-/// The last order that was sent for one kind in one zone.
+/// The last order that was sent for one capacity type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacedOrder {
     /// Number that was ordered.
@@ -172,7 +172,7 @@
 }
 
 impl PlacedOrder {
-    /// Number of running and booting upstreams of this kind, from the number listed now and the
+    /// Number of running and booting upstreams of this type, from the number listed now and the
     /// boot time.
     #[must_use]
     pub fn present(&self, listed: u32, now: Instant, boot: Duration) -> u32 {
@@ -260,7 +260,7 @@
     has_minimum && left_after_zone_loss(counts) >= needed
 }
 
-/// Orders that raise zones to their targets, by at most `max_added` upstreams per kind and zone.
+/// Orders that raise zones to their targets, by at most `max_added` upstreams per type and zone.
 fn growth_orders(
     zones: &[Zone],
     bounds: &Bounds,
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -11,10 +11,10 @@
 use crate::scaling::Order;
 use crate::scaling::Reason;
 
-/// The last order for one kind, as recorded by an earlier holder.
+/// The last order for one capacity type, as recorded by an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordedOrder {
-    /// Kind of upstream.
+    /// Type of the upstreams.
     pub capacity_type: CapacityType,
     /// Number that was ordered.
     pub count: u32,
@@ -55,7 +55,7 @@
     orders
 }
 
-/// Largest number of upstreams of each kind that may be running or booting: an order that is not
+/// Largest number of upstreams of each type that may be running or booting: an order that is not
 /// confirmed may still have been carried out.
 #[must_use]
 pub fn max_present(last: &[RecordedOrder], listed: Counts) -> Counts {
--- a/crates/policy/src/scaling_targets.rs
+++ b/crates/policy/src/scaling_targets.rs
@@ -1,4 +1,4 @@
-//! Computes the number of upstreams that a demand requires, by availability zone and kind.
+//! Computes the number of upstreams that a demand requires, by zone and capacity type.
 //!
 //! Upstreams are assigned one by one. On-demand upstreams cover the largest step; spot upstreams
 //! cover the rest and a reserve for the loss of the zone that holds most of them. The cheapest zone
@@ -101,7 +101,7 @@
         total(&self.assigned)
     }
 
-    /// Assigns one more upstream of a kind; false if no zone can take it.
+    /// Assigns one more upstream of a type; false if no zone can take it.
     fn add(&mut self, capacity_type: CapacityType) -> bool {
         let candidates = (0..self.zones.len()).filter(|at| self.can_take(*at, capacity_type));
         let Some(at) = candidates.min_by(|a, b| self.compare_zones(*a, *b, capacity_type)) else {
--- a/crates/policy/tests/scaling.rs
+++ b/crates/policy/tests/scaling.rs
@@ -34,7 +34,7 @@
     now: Instant,
     upstreams: Vec<SimulatedUpstream>,
     prices: [f64; 3],
-    /// Zones and kinds for which the platform refuses to add upstreams (409).
+    /// Zones and types for which the platform refuses to add upstreams (409).
     exhausted: Vec<(usize, CapacityType)>,
     ordered: [[Option<PlacedOrder>; 2]; 3],
     refused: [[Option<Instant>; 2]; 3],
--- a/crates/policy/tests/weight_loads.rs
+++ b/crates/policy/tests/weight_loads.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// A division without known needs.
+/// Shares of models whose needs are not known.
 const fn equal_shares(engines: usize, models: usize) -> ModelShares {
     ModelShares {
         engines,
