--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -112,7 +112,7 @@
 /// Tolerance for sums of shares that should be whole numbers.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Share in use: a decrease applies immediately, an increase after [`RAISE_DELAY`].
+/// Share in use: a decrease applies immediately, an increase after a delay.
 #[derive(Debug, Default)]
 pub struct EffectiveShare {
     /// Shares computed within [`RAISE_DELAY`] and the last one before, oldest first.
