--- a/crates/policy/src/load_limit.rs
+++ b/crates/policy/src/load_limit.rs
@@ -30,15 +30,18 @@
 /// Factor by which the limit is reduced after a slow load.
 const DECREASE_FACTOR: f64 = 0.8;
 
-/// Increase of the limit after a quick load while the limit is reached: before the first slow
-/// load, the limit doubles within the time of a load; after it, the limit grows by half.
+/// Increase of the limit for each quick load while the limit is reached, before the first slow
+/// load: the limit doubles within the time of a load.
 const INITIAL_INCREASE: f64 = 1.0;
+
+/// The same after the first slow load: the limit grows by half within the time of a load.
 const INCREASE: f64 = 0.5;
 
 /// Adaptive limit of concurrent loads at the weight store.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadLimit {
     limit: f64,
+    /// Time of the quickest load.
     quickest: Option<Duration>,
     /// When the limit was last lowered.
     lowered_at: Option<Instant>,
--- a/crates/policy/src/relist.rs
+++ b/crates/policy/src/relist.rs
@@ -20,11 +20,11 @@
 /// Entries per page of a list.
 const PAGE_ENTRIES: usize = 200;
 
-/// If the lists of all nodes take less than this time, nodes list without a wait.
-const MIN_SPREAD: Duration = Duration::from_secs(1);
+/// Minimum jitter window: if the lists of all nodes take less time, nodes list without a wait.
+const MIN_WINDOW: Duration = Duration::from_secs(1);
 
-/// Maximum spread, whatever fleet size a seed node reports.
-const MAX_SPREAD: Duration = Duration::from_secs(600);
+/// Maximum jitter window, whatever fleet size a seed node reports.
+const MAX_WINDOW: Duration = Duration::from_secs(600);
 
 /// Cost to the store if every node lists all upstreams.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,9 +43,9 @@
     pub fn jitter_window(&self) -> Option<Duration> {
         let pages = self.entries.div_ceil(PAGE_ENTRIES).max(1);
         let reads = self.nodes as f64 * pages as f64;
-        let spread = reads / (self.reads_per_s.max(1.0) * MAX_READS_SHARE);
-        let spread = Duration::try_from_secs_f64(spread).unwrap_or(MAX_SPREAD);
-        (spread >= MIN_SPREAD).then(|| spread.min(MAX_SPREAD))
+        let window = reads / (self.reads_per_s.max(1.0) * MAX_READS_SHARE);
+        let window = Duration::try_from_secs_f64(window).unwrap_or(MAX_WINDOW);
+        (window >= MIN_WINDOW).then(|| window.min(MAX_WINDOW))
     }
 }
 
@@ -57,13 +57,13 @@
 
 impl RelistTimer {
     /// Whether a node that no seed node has brought up to date lists now. A wait lasts
-    /// `spread * fraction`, where `fraction` is random in 0 to 1; each list starts a new wait.
-    /// Without a `spread` a list is always due.
-    pub fn is_due(&mut self, now: Instant, spread: Option<Duration>, fraction: f64) -> bool {
-        let Some(spread) = spread else {
+    /// `window * fraction`, where `fraction` is random in 0 to 1; each list starts a new wait.
+    /// Without a `window` a list is always due.
+    pub fn is_due(&mut self, now: Instant, window: Option<Duration>, fraction: f64) -> bool {
+        let Some(window) = window else {
             return true;
         };
-        let due_at = *self.due_at.get_or_insert(now + spread.mul_f64(fraction));
+        let due_at = *self.due_at.get_or_insert(now + window.mul_f64(fraction));
         let is_due = now >= due_at;
         if is_due {
             self.due_at = None;
--- a/crates/policy/src/slack.rs
+++ b/crates/policy/src/slack.rs
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Expected number of further events of a sample with this hint, or 0, and `events_done` events.
+    /// Expected number of further events of a sample that has `events_done` events;
+    /// `expected_tokens` is its hint, or 0 if it has none.
     #[must_use]
     pub fn remaining_events(&self, expected_tokens: u32, events_done: u32) -> f64 {
         let events_done = f64::from(events_done);
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -5,7 +5,7 @@
 //! Upstreams of one service differ widely in speed, and noisy neighbours slow some of them down
 //! for less than a second at a time. A single mean cannot tell a short disturbance from lasting
 //! slowness: samples would be moved away from engines that are fast again when the move ends,
-//! and calls would avoid an upstream for seconds that was slow for a moment.
+//! and calls would avoid, for seconds, an upstream that was slow only for a moment.
 //!
 //! Upstreams therefore report how long work currently takes on their VM, in percent of the
 //! undisturbed time. Measured times are divided by that figure, which gives the undisturbed time.
@@ -77,7 +77,7 @@
 struct Report {
     percent: u32,
     reported_at: Instant,
-    /// Time since which the figure is unchanged, without a gap of [`REPORT_MAX_AGE`].
+    /// Time since which the figure has been unchanged, without a gap of [`REPORT_MAX_AGE`].
     unchanged_since: Instant,
 }
 
@@ -88,7 +88,7 @@
     undisturbed_s: Option<f64>,
     /// Observed time that the estimate is based on, at most [`AVERAGING_TIME_S`].
     observed_s: f64,
-    last_learnt_at: Option<Instant>,
+    last_recorded_at: Option<Instant>,
     report: Option<Report>,
 }
 
@@ -104,7 +104,7 @@
             } else {
                 0.0
             },
-            last_learnt_at: None,
+            last_recorded_at: None,
             report: None,
         }
     }
@@ -124,7 +124,7 @@
 
     /// Records that a unit of work took this long.
     pub fn learn(&mut self, now: Instant, took: Duration) {
-        let previous = self.last_learnt_at.replace(now);
+        let previous = self.last_recorded_at.replace(now);
         let elapsed = previous.map_or(took, |previous| now.duration_since(previous));
         let (unit_s, weight) = match self.recent_factor(now) {
             Some(factor) => (took.as_secs_f64() / factor, 1.0),
@@ -279,8 +279,9 @@
 }
 
 impl RemainingTime {
-    /// Adds the cost of a move to `other_engine_s`. The caller computes `current_engine_s` from the undisturbed
-    /// time of the current engine, and `other_engine_s` from the time and disturbance of the other one.
+    /// Adds the cost of a move to `other_engine_s`. The caller computes `current_engine_s` from the
+    /// undisturbed time of the current engine, and `other_engine_s` from the time and disturbance
+    /// of the other one.
     #[must_use]
     pub const fn with_move_cost(current_engine_s: f64, other_engine_s: f64) -> Self {
         Self {
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -68,7 +68,7 @@
 
 struct MovesCase {
     name: &'static str,
-    rules: StragglerPolicy,
+    policy: StragglerPolicy,
     samples: usize,
     moves: usize,
 }
@@ -80,26 +80,26 @@
     let cases = [
         MovesCase {
             name: "a small step",
-            rules: StragglerPolicy::default(),
+            policy: StragglerPolicy::default(),
             samples: 4,
             moves: 4,
         },
         MovesCase {
             name: "a large step",
-            rules: StragglerPolicy::default(),
+            policy: StragglerPolicy::default(),
             samples: 4_096,
             moves: 1_024,
         },
         MovesCase {
-            name: "disabled rules never move a draft",
-            rules: StragglerPolicy::DISABLED,
+            name: "a disabled policy never moves a draft",
+            policy: StragglerPolicy::DISABLED,
             samples: 4_096,
             moves: 0,
         },
     ];
     for case in cases {
         assert_eq!(
-            case.rules.max_moves(case.samples),
+            case.policy.max_moves(case.samples),
             case.moves,
             "{}",
             case.name
