--- a/crates/firweir/src/process/drafting.rs
+++ b/crates/firweir/src/process/drafting.rs
@@ -242,7 +242,7 @@
 
     fn learn(&self, plan: &StepPlan<'_>, slot: Slot, segments: &[Segment]) {
         let mut lengths = self.lengths.borrow_mut();
-        lengths.learn(plan.prompt_hash(slot), tokens_of(segments));
+        lengths.record_answer(plan.prompt_hash(slot), tokens_of(segments));
     }
 
     /// A sample that is already too old for the trainer's present version would
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -317,7 +317,7 @@
             .tokens
             .saturating_sub(u64::from(ended.sample.peak_tokens));
         if outcome == RunOutcome::Done {
-            self.event_counts.learn(ended.events);
+            self.event_counts.record_sample(ended.events);
         }
         match outcome {
             RunOutcome::Done | RunOutcome::Cancelled => {}
@@ -874,7 +874,7 @@
             return;
         }
         if let Some(speed) = &mut self.speed {
-            speed.learn(now, pause);
+            speed.record_time(now, pause);
             self.mean_event_s = speed.undisturbed_s();
             return;
         }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -360,7 +360,7 @@
             .as_mut()
             .filter(|_| ending == Ending::Answered)
         {
-            speed.learn(now, elapsed);
+            speed.record_time(now, elapsed);
         }
         // Slowness that the upstream's own report explains must not eject it.
         let unexplained = upstream.speed.map_or(elapsed, |speed| {
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -123,7 +123,7 @@
     }
 
     /// Records that a unit of work took this long.
-    pub fn learn(&mut self, now: Instant, took: Duration) {
+    pub fn record_time(&mut self, now: Instant, took: Duration) {
         let previous = self.last_recorded_at.replace(now);
         let elapsed = previous.map_or(took, |previous| now.duration_since(previous));
         let (unit_s, weight) = match self.recent_factor(now) {
@@ -230,7 +230,7 @@
 
 impl EventHistogram {
     /// Records a sample that has ended with this number of events.
-    pub fn learn(&mut self, events: u32) {
+    pub fn record_sample(&mut self, events: u32) {
         self.samples = self.samples.saturating_add(1);
         let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         self.mean_events += (f64::from(events) - self.mean_events) * weight;
@@ -370,9 +370,9 @@
 
     /// Records the time of an answered call, less the estimated wait for a slot at the upstream,
     /// which does not depend on the VM's speed.
-    pub fn learn(&mut self, now: Instant, took: Duration) {
+    pub fn record_time(&mut self, now: Instant, took: Duration) {
         let waiting = f64::from(self.load.waiting) / f64::from(self.load.slots.max(1));
-        self.speed.learn(now, took.div_f64(1.0 + waiting));
+        self.speed.record_time(now, took.div_f64(1.0 + waiting));
     }
 
     /// Undisturbed time and reported disturbance.
--- a/crates/policy/src/straggler.rs
+++ b/crates/policy/src/straggler.rs
@@ -120,7 +120,7 @@
 
 impl PromptLengths {
     /// Records that an answer to the prompt with this hash had this many tokens.
-    pub fn learn(&mut self, prompt: u64, tokens: u32) {
+    pub fn record_answer(&mut self, prompt: u64, tokens: u32) {
         let tokens = f64::from(tokens);
         self.recorded += 1;
         let recorded = self.recorded;
--- a/crates/policy/tests/speed_estimates.rs
+++ b/crates/policy/tests/speed_estimates.rs
@@ -41,14 +41,14 @@
     let at = |ms| start + Duration::from_millis(ms);
     (1..=40).for_each(|event| {
         speed.record_report(at(event * 50), 100);
-        speed.learn(at(event * 50), Duration::from_millis(50));
+        speed.record_time(at(event * 50), Duration::from_millis(50));
     });
     for ms in (2_000..2_625).step_by(25) {
         if is_reported && ms % 100 == 0 {
             speed.record_report(at(ms), 250);
         }
         if ms > 2_000 && ms % 125 == 0 {
-            speed.learn(at(ms), Duration::from_millis(125));
+            speed.record_time(at(ms), Duration::from_millis(125));
         }
     }
     speed.undisturbed_s().unwrap_or_default()
--- a/crates/policy/tests/straggler.rs
+++ b/crates/policy/tests/straggler.rs
@@ -48,7 +48,7 @@
     for case in cases {
         let mut lengths = PromptLengths::default();
         for (prompt, tokens) in case.answers {
-            lengths.learn(*prompt, *tokens);
+            lengths.record_answer(*prompt, *tokens);
         }
         let order = lengths.order_longest_first(case.prompts);
         assert_eq!(order, case.order, "{}", case.name);
@@ -59,9 +59,9 @@
 #[test]
 fn old_prompts_are_forgotten() {
     let mut lengths = PromptLengths::default();
-    lengths.learn(u64::MAX, 9_999);
+    lengths.record_answer(u64::MAX, 9_999);
     for prompt in 0..40_000 {
-        lengths.learn(prompt, 10);
+        lengths.record_answer(prompt, 10);
     }
     assert!(lengths.expected_tokens(u64::MAX) < 100.0);
 }
