--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -181,7 +181,7 @@
 struct Engine {
     state: EngineState,
     in_flight: u32,
-    tokens: u64,
+    reserved_tokens: u64,
     paused_until: Option<Instant>,
     /// Mean time per event; `None` until two events of a sample have arrived from it.
     mean_event_s: Option<f64>,
@@ -313,8 +313,8 @@
         };
         let engine = &mut self.engines[at];
         engine.in_flight = engine.in_flight.saturating_sub(1);
-        engine.tokens = engine
-            .tokens
+        engine.reserved_tokens = engine
+            .reserved_tokens
             .saturating_sub(u64::from(ended.sample.peak_tokens));
         if outcome == RunOutcome::Done {
             self.event_counts.record_sample(ended.events);
@@ -585,7 +585,7 @@
     fn start(&mut self, now: Instant, sample: SampleRequest, at: usize) {
         let engine = &mut self.engines[at];
         engine.in_flight += 1;
-        engine.tokens += u64::from(sample.peak_tokens);
+        engine.reserved_tokens += u64::from(sample.peak_tokens);
         let key = engine.state.key;
         let position = self
             .running
@@ -742,7 +742,7 @@
 }
 
 impl SampleRequest {
-    /// Whether no engine that lacks the resources for `other` can take this sample either.
+    /// Whether an engine with a free slot that cannot take `other` cannot take this sample either.
     const fn requires_at_least(&self, other: &Self) -> bool {
         self.model.0 == other.model.0
             && self.min_version >= other.min_version
@@ -781,7 +781,7 @@
         Self {
             state,
             in_flight: 0,
-            tokens: 0,
+            reserved_tokens: 0,
             paused_until: None,
             mean_event_s: None,
             reported: None,
@@ -792,7 +792,7 @@
 
     /// Whether its memory and its weights suffice for the sample.
     fn fits(&self, sample: &SampleRequest) -> bool {
-        let tokens = self.tokens + u64::from(sample.peak_tokens);
+        let tokens = self.reserved_tokens + u64::from(sample.peak_tokens);
         // A sample larger than the whole memory is admitted alone: the engine decides whether to
         // run it.
         let fits_in_memory = tokens <= self.state.memory_tokens || self.in_flight == 0;
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -273,10 +273,10 @@
         for capacity_type in CAPACITY_TYPES {
             let before = present.of(capacity_type);
             let others = present.total() - before;
-            let max_of_kind = bounds.max_per_zone.saturating_sub(others);
+            let max_of_type = bounds.max_per_zone.saturating_sub(others);
             let count = target
                 .of(capacity_type)
-                .min(max_of_kind)
+                .min(max_of_type)
                 .min(before.saturating_add(max_added));
             if count <= before || zone.is_unavailable(capacity_type) {
                 continue;
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -61,10 +61,10 @@
 pub fn max_present(last: &[RecordedOrder], listed: Counts) -> Counts {
     let mut counts = listed;
     for capacity_type in CAPACITY_TYPES {
-        let of_kind = last
+        let of_type = last
             .iter()
             .filter(|order| order.capacity_type == capacity_type);
-        let ordered = of_kind.map(|order| order.count).max().unwrap_or_default();
+        let ordered = of_type.map(|order| order.count).max().unwrap_or_default();
         *counts.of_mut(capacity_type) = listed.of(capacity_type).max(ordered);
     }
     counts
