--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -131,7 +131,7 @@
         let us_per_token = elapsed.as_secs_f64() * 1e6 / f64::from(cost_tokens.max(1));
         self.consecutive_failures = 0;
         if self.state == State::Probing {
-            // Discards the measurements from before the ejection.
+            // Measurements from before the ejection no longer apply.
             self.answers = 0;
             self.overdue_ratio = 1.0;
             self.slowness = 1.0;
