--- a/crates/policy/tests/speed_samples.rs
+++ b/crates/policy/tests/speed_samples.rs
@@ -208,10 +208,10 @@
 
     fn place(&mut self) {
         let now = self.now();
-        while let Some((draft, engine)) = self.placement.next(now) {
-            self.tries[draft.0 as usize] += 1;
+        while let Some((sample, engine)) = self.placement.next(now) {
+            self.tries[sample.0 as usize] += 1;
             self.runs.push(Run {
-                key: draft.0,
+                key: sample.0,
                 engine: engine.0,
                 next_event_ms: MOVE_MS + EVENT_MS / speed(engine.0),
             });
@@ -338,8 +338,8 @@
         let mut simulation = Simulation::new(0, BY_TURNS, Reports::Truth);
         (0..2).for_each(|key| simulation.offer(key));
         let mut engines = [0; 2];
-        while let Some((draft, engine)) = simulation.placement.next(simulation.start) {
-            engines[draft.0 as usize] = engine.0;
+        while let Some((sample, engine)) = simulation.placement.next(simulation.start) {
+            engines[sample.0 as usize] = engine.0;
         }
         assert_ne!(engines[0], engines[1]);
         let mut next_ms = [50, 50];
