--- a/crates/node/tests/head_view.rs
+++ b/crates/node/tests/head_view.rs
@@ -38,7 +38,7 @@
 /// Guards against samples of an ended submission that start after an outdated read of its head:
 /// on a slow VM, after a suspension, or at a node that took the submission over as it ended.
 #[tokio::test(start_paused = true)]
-async fn samples_start_under_a_young_head_only() {
+async fn samples_start_only_after_a_recent_head_read() {
     let case = |name, confirmed_ms, now_ms, starts| Case {
         name,
         confirmed_ms,
@@ -79,7 +79,7 @@
 
 /// Guards against samples that wait for ever after a read of the head, or after the end.
 #[tokio::test(start_paused = true)]
-async fn a_look_or_the_end_lets_samples_go_on() {
+async fn a_head_read_or_the_end_lets_samples_go_on() {
     for ends in [false, true] {
         let (clock, view) = (
             Arc::new(ManualClock::default()),
