--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -144,7 +144,7 @@
             news: News {
                 extent: Extent {
                     listed: Some(passing.listed),
-                    whole: passing.whole.then_some(self.wanted == Wanted::All),
+                    whole: passing.is_full_list.then_some(self.wanted == Wanted::All),
                 },
                 as_of,
                 changes: passing.into_changes(),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,20 +1,20 @@
-//! Passes on what the platform's store shows, from a few nodes to all others.
+//! Relays objects of the platform's store from a few seed nodes to all other nodes.
 //!
-//! **Load:** every node needs the configuration and the list of upstreams, which
-//! changes with each load of weights. **Without it:** every node watches the store, and
-//! each change costs a call for each node. **How:** the seeds of the settings watch the store and keep the newest value of
-//! each object with the revision by which it changed. All other nodes ask a seed for what
-//! changed after the revision that they know, and the seed answers when there is something.
-//! A node that only sends live calls names the services that these go to, and is told of
-//! their upstreams' whereabouts alone: a small VM that took in each load of weights of
-//! hundreds of engines had no time for callers. Revisions are the store's,
-//! so a node can change from one seed to another, or to the store, and nothing goes
-//! back. A seed says how old its knowledge is; if that is too old, or no seed answers,
-//! a node asks the store itself.
+//! Every node needs the configuration and the list of upstreams, which changes with each load of
+//! weights. If every node watched the store, each change would cost one store call per node.
+//! Instead, only the seed nodes of the settings watch the store. A seed keeps the newest value of
+//! each object with the revision of its last change. The other nodes long-poll a seed for the
+//! changes after the revision that they know.
 //!
-//! A node notices a silent seed after [`POLL_TIMEOUT`], and then asks the store. So this is for
-//! deployments that allow an upstream that leaves more than that and the age of what a seed
-//! knows ([`age_most`]).
+//! A node that only sends live calls names the services that they go to, and receives only
+//! changes that matter for routing: processing every load of weights of hundreds of engines left
+//! a small VM no time for callers. Revisions are those of the store, so a node can switch between
+//! seeds and the store without going back to an earlier state. A seed reports the age of its
+//! data; if it is too old, or no seed answers, a node reads the store itself.
+//!
+//! A node detects a silent seed after [`POLL_TIMEOUT`] and then reads the store. Relaying
+//! therefore suits only deployments that give a leaving upstream more time than that plus the
+//! allowed age of a seed's data ([`age_most`]).
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -43,7 +43,7 @@
 /// Path at which a seed answers other nodes.
 pub const RELAY_PATH: &str = "/peer/relay/";
 
-/// Kinds that seeds pass on, with their names in paths.
+/// Kinds that seeds relay, with their names in paths.
 const KINDS: [(&str, Kind); 4] = [
     ("configuration", Kind::Configuration),
     ("upstreams", Kind::Upstreams),
@@ -51,63 +51,64 @@
     ("duties", Kind::Duties),
 ];
 
-/// Least age that a seed's knowledge may have: its watches end after [`SEED_WATCH`].
-const AGE_LEAST: Duration = Duration::from_millis(1_300);
+/// Lower bound of the allowed age of a seed's data: its watches end only after [`SEED_WATCH`].
+const MIN_ALLOWED_AGE: Duration = Duration::from_millis(1_300);
 
-/// Time for a request that is on its way by what a node knew.
-const ON_ITS_WAY: Duration = Duration::from_millis(200);
+/// Allowance for a request that was routed by a node's previous state and is still in flight.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(200);
 
-/// How long one watch of a seed may wait, so that its age stays below [`AGE_LEAST`].
+/// Longest wait of one watch on a seed, so that the age of its data stays below [`MIN_ALLOWED_AGE`].
 pub const SEED_WATCH: Duration = Duration::from_secs(1);
 
-/// How long a seed holds a question for which it has nothing new.
-const HOLD: Duration = Duration::from_millis(900);
+/// How long a seed holds a request for which it has no changes.
+const MAX_HOLD: Duration = Duration::from_millis(900);
 
-/// A seed that has not answered by then is silent.
+/// A seed that has not answered within this time counts as silent.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// Names of objects that are gone that a seed keeps; a node that is further behind gets
-/// the whole list. Of objects that are there it keeps the newest value and when that came.
-const GONE_KEPT: usize = 512;
+/// Number of names of removed objects that a seed keeps. A node that missed older removals gets
+/// the full list.
+const MAX_REMOVED_NAMES: usize = 512;
 
-/// An object, or the name of one that is gone.
+/// An object, or the name of a removed one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Passed {
     name: String,
     revision: u64,
     reported: bool,
-    /// `None` if it is gone.
+    /// `None` if the object was removed.
     value: Option<Box<RawValue>>,
 }
 
-/// What a seed answers.
+/// The answer of a seed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Passing {
-    /// Revision of the store that the node knows then.
+    /// Revision of the store up to which a node that applies this answer is up to date.
     pub revision: u64,
     /// Time since the seed last heard from the store.
     pub age_ms: u64,
-    /// When this was all that the store had, from the arrival of the question on.
+    /// When the store had nothing newer, relative to the arrival of the request.
     #[serde(default)]
     pub as_of_ms: Option<i64>,
     /// The same on the seed's own clock.
     #[serde(skip)]
     pub as_of: Option<Duration>,
-    /// Objects that the seed knows, wanted or not.
+    /// Number of objects that the seed knows, requested or not.
     #[serde(default)]
     pub listed: usize,
-    /// Number of nodes that ask the seed; some may have stopped since. 0 from older releases.
+    /// Number of nodes that poll the seed; some may have stopped since. 0 from older releases.
     #[serde(default)]
     pub nodes: usize,
-    /// All objects, not only what changed.
-    pub whole: bool,
+    /// `objects` holds all requested objects, not only the changed ones.
+    #[serde(rename = "whole")]
+    pub is_full_list: bool,
     /// Objects in the order of their changes.
     pub objects: Vec<Passed>,
 }
 
 impl Passing {
-    /// The same for a node whose question arrived then: clocks of two VMs have nothing in
-    /// common but how fast they go.
+    /// Expresses `as_of` relative to the arrival of the request, since the clocks of two VMs
+    /// share only their rate.
     #[must_use]
     pub fn since_question(mut self, arrived: Duration) -> Self {
         let millis = |time: Duration| time.as_millis() as i64;
@@ -115,8 +116,8 @@
         self
     }
 
-    /// When this was all that the store had, on the clock of a node that sent its question
-    /// then: at the latest when the seed got it.
+    /// When the store had nothing newer, on the clock of the node that sent the request at `sent`.
+    /// Leaves out the time in transit, so the result is never later than the true time.
     #[must_use]
     pub fn as_of_for(&self, sent: Duration) -> Option<Duration> {
         let sent_ms = sent.as_millis() as i64;
@@ -124,7 +125,7 @@
         as_of_ms.ok().map(Duration::from_millis)
     }
 
-    /// What a node is to take in.
+    /// The changes that a node has to apply.
     #[must_use]
     pub fn into_changes(self) -> Vec<Change> {
         let object = |passed: Passed| match passed.value {
@@ -137,7 +138,7 @@
             None => Change::Gone(passed.name),
         };
         let changes = self.objects.into_iter().map(object);
-        if !self.whole {
+        if !self.is_full_list {
             return changes.collect();
         }
         let objects = changes.filter_map(|change| match change {
@@ -148,19 +149,19 @@
     }
 }
 
-/// What of an upstream's entry a node has to know that sends live calls to it.
+/// Hashes of the properties of an upstream that matter for routing live calls to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Whereabouts {
     /// Hash of the service that the upstream belongs to.
     pub service: u64,
-    /// Hash of all else but the versions of its weights.
+    /// Hash of all other properties except the versions of its weights.
     pub details: u64,
-    /// Hash of its id, by which models choose engines.
+    /// Hash of its id, for the rendezvous hashing of models over engines.
     pub engine: u64,
 }
 
 impl Whereabouts {
-    /// The whereabouts that an upstream's entry tells.
+    /// Hashes the properties of an upstream.
     #[must_use]
     pub fn of(upstream: &Upstream) -> Self {
         let instance = &upstream.instance;
@@ -175,24 +176,24 @@
     }
 }
 
-/// The hash by which nodes name services and models to a seed.
+/// The hash that identifies a service or model in requests to a seed.
 #[must_use]
 pub fn hash_of_name(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// What a node asks a seed for.
+/// A node's request to a seed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Question {
-    /// The revision that it knows.
+    /// Revision up to which the node is up to date.
     pub since: u64,
-    /// The entries that it wants to know of; all where it does not say.
+    /// Entries to report; `None` for all.
     pub parts: Option<Parts>,
 }
 
 impl Question {
-    /// The question in the query of a path: the revision, then the parts if not all is
-    /// wanted: a hash for each service, and a hash and a number of zeros for each model.
+    /// Encodes the request as a query string: the revision, followed, if there is a filter, by a
+    /// hash for each service and a hash and a number of leading zeros for each model.
     #[must_use]
     pub fn to_query(&self) -> String {
         let since = self.since;
@@ -200,12 +201,17 @@
             return since.to_string();
         };
         let services = parts.services.iter().map(|hash| format!(",{hash:x}"));
-        let slice = |held: &ModelSlice| format!(",{:x}:{}", held.model, held.slice.leading_zeros);
+        let slice = |model_slice: &ModelSlice| {
+            format!(
+                ",{:x}:{}",
+                model_slice.model, model_slice.slice.leading_zeros
+            )
+        };
         let slices = parts.slices.iter().map(slice);
         format!("{since};{}", services.chain(slices).collect::<String>())
     }
 
-    /// Reads a query; `None` if it is malformed.
+    /// Decodes a query string; `None` if it is malformed.
     #[must_use]
     pub fn of_query(query: &str) -> Option<Self> {
         let Some((since, wanted)) = query.split_once(';') else {
@@ -233,112 +239,113 @@
 }
 
 impl Parts {
-    /// Whether an upstream belongs to them.
+    /// Whether the filter selects an upstream, for all changes or for routing changes only.
     #[must_use]
     pub fn have(&self, whereabouts: Whereabouts) -> bool {
-        self.part_of(whereabouts) != Part::Nothing
+        self.relevance_of(whereabouts) != Relevance::Unrequested
     }
 
-    /// What of an upstream belongs to them.
-    fn part_of(&self, whereabouts: Whereabouts) -> Part {
-        let is_in = |held: &ModelSlice| {
-            let order = rendezvous_hash(whereabouts.engine, held.model);
-            held.slice.contains(order)
+    /// Which changes of an upstream the filter selects.
+    fn relevance_of(&self, whereabouts: Whereabouts) -> Relevance {
+        let is_in = |model_slice: &ModelSlice| {
+            let order = rendezvous_hash(whereabouts.engine, model_slice.model);
+            model_slice.slice.contains(order)
         };
         if self.slices.iter().any(is_in) {
-            return Part::Everything;
+            return Relevance::AllChanges;
         }
         match self.services.binary_search(&whereabouts.service) {
-            Ok(_) => Part::Whereabouts,
-            Err(_) => Part::Nothing,
+            Ok(_) => Relevance::RoutingChanges,
+            Err(_) => Relevance::Unrequested,
         }
     }
 }
 
-/// What of one entry is wanted.
+/// Which changes of one entry a node requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
+enum Relevance {
     /// Every change.
-    Everything,
-    /// Changes of its whereabouts.
-    Whereabouts,
+    AllChanges,
+    /// Changes that matter for routing.
+    RoutingChanges,
     /// No change.
-    Nothing,
+    Unrequested,
 }
 
-/// An object as a seed holds it.
+/// An object as a seed stores it.
 #[derive(Debug)]
-struct Mirrored {
-    passed: Passed,
+struct MirroredObject {
+    object: Passed,
     whereabouts: Option<Whereabouts>,
-    /// Revision of the store by which its newest value was known.
-    changed: u64,
-    /// The same for its whereabouts.
-    moved: u64,
+    /// Store revision at which its newest value was received.
+    changed_revision: u64,
+    /// Store revision at which its routing properties last changed.
+    routing_revision: u64,
 }
 
 #[derive(Debug, Default)]
 struct Mirror {
     /// Sorted by name.
-    objects: Vec<Mirrored>,
-    /// Objects that are gone, with the revisions of the store by which that was known.
-    gone: VecDeque<(u64, String)>,
-    /// What is gone since this revision is all kept.
-    kept_since: u64,
-    /// Revision of the last change of anyone's whereabouts.
-    last_moved: u64,
+    objects: Vec<MirroredObject>,
+    /// Removed objects, with the store revisions at which their removal was received.
+    removed: VecDeque<(u64, String)>,
+    /// All removals after this revision are kept.
+    removals_since: u64,
+    /// Revision of the last change of any object's routing properties.
+    last_routing_change: u64,
     revision: u64,
-    heard: Option<Instant>,
-    /// When this was all that the store had, on the clock that counts suspended time.
+    last_heard: Option<Instant>,
+    /// When the store had nothing newer, on the clock that counts suspended time.
     as_of: Option<Duration>,
 }
 
-/// What one node holds of one kind that seeds pass on.
+/// Relayed objects of one kind.
 #[derive(Debug, Default)]
-struct Held {
+struct RelayedKind {
     mirror: Mutex<Mirror>,
     changed: Notify,
-    /// Questions are held for less than usual; 0 if not.
-    hold_most_ms: AtomicU64,
+    /// Upper bound of the hold time of requests below [`MAX_HOLD`]; 0 for none.
+    max_hold_ms: AtomicU64,
 }
 
-/// What one node holds of the kinds that seeds pass on.
+/// Relayed objects of all kinds that seeds relay.
 #[derive(Debug)]
 pub struct Relay {
-    kinds: [Held; KINDS.len()],
+    kinds: [RelayedKind; KINDS.len()],
     age_most: Duration,
 }
 
 impl Default for Relay {
     fn default() -> Self {
-        Self::new(AGE_LEAST)
+        Self::new(MIN_ALLOWED_AGE)
     }
 }
 
-/// How old a seed's knowledge may be where a change has to be in force within `bound`. A seed
-/// that lists anew is behind for a while, and all nodes would ask the store instead.
+/// Allowed age of a seed's data if a change has to be in force within `bound`. As much as
+/// possible is allowed: a seed that lists again lags for a while, and with a tight limit all
+/// nodes would turn to the store.
 #[must_use]
 pub fn age_most(bound: Duration) -> Duration {
-    let left = bound.saturating_sub(POLL_TIMEOUT + ON_ITS_WAY);
-    left.min(bound / 2).max(AGE_LEAST)
+    let left = bound.saturating_sub(POLL_TIMEOUT + IN_FLIGHT_TIME);
+    left.min(bound / 2).max(MIN_ALLOWED_AGE)
 }
 
-/// The name of a kind in paths, if seeds pass it on.
+/// Name of a kind in paths; `None` if seeds do not relay it.
 #[must_use]
 pub fn name_of(kind: Kind) -> Option<&'static str> {
-    let found = KINDS.iter().find(|(_, held)| *held == kind);
+    let found = KINDS.iter().find(|(_, relayed)| *relayed == kind);
     found.map(|(name, _)| *name)
 }
 
-/// The kind of this name in paths.
+/// The kind with this name in paths.
 #[must_use]
 pub fn kind_of(name: &str) -> Option<Kind> {
-    let found = KINDS.iter().find(|(held, _)| *held == name);
+    let found = KINDS.iter().find(|(relayed, _)| *relayed == name);
     found.map(|(_, kind)| *kind)
 }
 
 impl Relay {
-    /// Nothing is held yet; knowledge may be so old.
+    /// An empty relay whose data counts as up to date up to the age `age_most`.
     #[must_use]
     pub fn new(age_most: Duration) -> Self {
         Self {
@@ -347,19 +354,19 @@
         }
     }
 
-    /// Age up to which what a seed knows counts as up to date.
+    /// Age up to which a seed's data counts as up to date.
     #[must_use]
     pub const fn age_most(&self) -> Duration {
         self.age_most
     }
 
-    /// Whether knowledge of this age does.
+    /// Whether data of this age counts as up to date.
     #[must_use]
     pub const fn is_young(&self, age_ms: u64) -> bool {
         age_ms as u128 <= self.age_most.as_millis()
     }
 
-    /// Keeps what the store has shown, up to this revision.
+    /// Applies changes that the store reported, up to `revision`.
     pub fn keep(
         &self,
         now: Instant,
@@ -368,74 +375,74 @@
         changes: &[Change],
         whereabouts_of: impl Fn(&Object) -> Option<Whereabouts>,
     ) {
-        let Some(held) = self.held(kind) else {
+        let Some(relayed_kind) = self.relayed_kind(kind) else {
             return;
         };
-        let mut mirror = held.lock();
-        mirror.heard = Some(now);
+        let mut mirror = relayed_kind.lock();
+        mirror.last_heard = Some(now);
         for change in changes {
-            mirror.take(revision, change, &whereabouts_of);
+            mirror.apply(revision, change, &whereabouts_of);
         }
         mirror.revision = mirror.revision.max(revision);
         drop(mirror);
         if !changes.is_empty() {
-            held.changed.notify_waiters();
+            relayed_kind.changed.notify_waiters();
         }
     }
 
-    /// Holds questions of a kind for so long at most.
+    /// Limits how long requests for a kind are held; `None` restores the default.
     pub fn hold_at_most(&self, kind: Kind, most: Option<Duration>) {
-        if let Some(held) = self.held(kind) {
-            let most_ms = most.map_or(0, |most| most.as_millis() as u64);
-            held.hold_most_ms.store(most_ms, Ordering::Relaxed);
+        if let Some(relayed_kind) = self.relayed_kind(kind) {
+            let max_ms = most.map_or(0, |most| most.as_millis() as u64);
+            relayed_kind.max_hold_ms.store(max_ms, Ordering::Relaxed);
         }
     }
 
-    /// Notes that what is kept was all that the store had then.
+    /// Records that the store had nothing newer at `as_of` (time since boot).
     pub fn note_as_of(&self, kind: Kind, as_of: Option<Duration>) {
-        if let Some(held) = self.held(kind) {
-            let mut mirror = held.lock();
+        if let Some(relayed_kind) = self.relayed_kind(kind) {
+            let mut mirror = relayed_kind.lock();
             mirror.as_of = mirror.as_of.max(as_of);
         }
     }
 
-    /// What came after a revision; held back while there is nothing.
+    /// Answers with the changes after the revision of the request; waits while there are none.
     pub async fn answer(
         &self,
         kind: Kind,
         question: &Question,
         now: impl Fn() -> Instant,
     ) -> Passing {
-        let Some(held) = self.held(kind) else {
+        let Some(relayed_kind) = self.relayed_kind(kind) else {
             return Mirror::default().passing(question, now());
         };
-        let until = tokio::time::Instant::now() + held.hold();
+        let until = tokio::time::Instant::now() + relayed_kind.hold();
         loop {
-            let changed = held.changed.notified();
+            let changed = relayed_kind.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let passing = held.lock().passing(question, now());
+            let passing = relayed_kind.lock().passing(question, now());
             let waited = tokio::time::Instant::now() >= until;
-            let is_news = passing.whole || !passing.objects.is_empty();
+            let is_news = passing.is_full_list || !passing.objects.is_empty();
             if waited || is_news || !self.is_young(passing.age_ms) {
                 return passing;
             }
-            // Late or not, the loop looks again.
+            // After a change or the timeout, the loop checks again.
             drop(tokio::time::timeout_at(until, changed).await);
         }
     }
 
-    fn held(&self, kind: Kind) -> Option<&Held> {
-        let at = KINDS.iter().position(|(_, held)| *held == kind)?;
+    fn relayed_kind(&self, kind: Kind) -> Option<&RelayedKind> {
+        let at = KINDS.iter().position(|(_, relayed)| *relayed == kind)?;
         Some(&self.kinds[at])
     }
 }
 
-impl Held {
+impl RelayedKind {
     fn hold(&self) -> Duration {
-        match self.hold_most_ms.load(Ordering::Relaxed) {
-            0 => HOLD,
-            most_ms => HOLD.min(Duration::from_millis(most_ms)),
+        match self.max_hold_ms.load(Ordering::Relaxed) {
+            0 => MAX_HOLD,
+            max_ms => MAX_HOLD.min(Duration::from_millis(max_ms)),
         }
     }
 
@@ -446,14 +453,18 @@
 
 impl Mirror {
     fn passing(&self, question: &Question, now: Instant) -> Passing {
-        let age = self.heard.map(|heard| now.duration_since(heard));
-        let whole = question.since < self.kept_since;
-        let objects = if whole {
-            let is_wanted = |held: &&Mirrored| held.part_for(question) != Part::Nothing;
+        let age = self
+            .last_heard
+            .map(|last_heard| now.duration_since(last_heard));
+        let is_full_list = question.since < self.removals_since;
+        let objects = if is_full_list {
+            let is_wanted = |mirrored: &&MirroredObject| {
+                mirrored.relevance_for(question) != Relevance::Unrequested
+            };
             let wanted = self.objects.iter().filter(is_wanted);
-            wanted.map(|held| held.passed.clone()).collect()
+            wanted.map(|mirrored| mirrored.object.clone()).collect()
         } else {
-            self.later(question)
+            self.changes_since(question)
         };
         Passing {
             revision: self.revision,
@@ -462,54 +473,61 @@
             as_of: self.as_of,
             listed: self.objects.len(),
             nodes: 0,
-            whole,
+            is_full_list,
             objects,
         }
     }
 
-    /// What came after the question's revision, in order.
-    fn later(&self, question: &Question) -> Vec<Passed> {
+    /// Changes after the revision of the request, in order.
+    fn changes_since(&self, question: &Question) -> Vec<Passed> {
         let since = question.since;
-        // Most questions of most nodes end here, whatever engines load.
+        // Fast path: most requests come from nodes that only send live calls, and loads of
+        // weights do not concern them.
         let calls_only = question
             .parts
             .as_ref()
             .is_some_and(|parts| parts.slices.is_empty());
-        if calls_only && self.last_moved <= since {
+        if calls_only && self.last_routing_change <= since {
             return Vec::new();
         }
-        // Most objects have not changed, and a hash is dearer than a look.
-        let changed = self.objects.iter().filter(|held| held.changed > since);
-        let changed = changed.filter(|held| match held.part_for(question) {
-            Part::Everything => true,
-            Part::Whereabouts => held.moved > since,
-            Part::Nothing => false,
+        // Compares revisions first: most objects have not changed, and hashing costs more.
+        let changed = self
+            .objects
+            .iter()
+            .filter(|mirrored| mirrored.changed_revision > since);
+        let changed = changed.filter(|mirrored| match mirrored.relevance_for(question) {
+            Relevance::AllChanges => true,
+            Relevance::RoutingChanges => mirrored.routing_revision > since,
+            Relevance::Unrequested => false,
         });
         let mut later: Vec<(u64, Passed)> = changed
-            .map(|held| (held.changed, held.passed.clone()))
+            .map(|mirrored| (mirrored.changed_revision, mirrored.object.clone()))
             .collect();
-        let gone = self.gone.iter().filter(|(revision, _)| *revision > since);
-        later.extend(gone.map(|(revision, name)| (*revision, Passed::gone(*revision, name))));
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(revision, _)| *revision > since);
+        later.extend(removed.map(|(revision, name)| (*revision, Passed::removed(*revision, name))));
         later.sort_by_key(|(revision, _)| *revision);
         later.into_iter().map(|(_, passed)| passed).collect()
     }
 
-    fn take(
+    fn apply(
         &mut self,
         revision: u64,
         change: &Change,
         whereabouts_of: &impl Fn(&Object) -> Option<Whereabouts>,
     ) {
         match change {
-            Change::All(objects) => self.take_all(revision, objects, whereabouts_of),
+            Change::All(objects) => self.apply_list(revision, objects, whereabouts_of),
             Change::Put(object) => self.put(revision, object, whereabouts_of(object)),
             Change::Gone(name) => self.remove(revision, name),
         }
     }
 
-    /// Takes in a whole list. Where most of what was known is still there, nodes get what has
-    /// changed; else they get the list, since they keep entries that have lapsed for a while.
-    fn take_all(
+    /// Applies a full list. If most known objects are still in it, nodes get the differences.
+    /// Otherwise they get the full list, which makes them keep expired entries for a while.
+    fn apply_list(
         &mut self,
         revision: u64,
         objects: &[Object],
@@ -517,115 +535,124 @@
     ) {
         let mut names: Vec<&str> = objects.iter().map(|object| object.name.as_str()).collect();
         names.sort_unstable();
-        let is_listed = |held: &Mirrored| names.binary_search(&held.passed.name.as_str()).is_ok();
-        if self.heard_of_none() || self.has_lost_most(is_listed) {
-            let mirrored = |object| Mirrored::new(revision, object, whereabouts_of(object));
-            self.objects = objects.iter().map(mirrored).collect();
+        let is_listed =
+            |mirrored: &MirroredObject| names.binary_search(&mirrored.object.name.as_str()).is_ok();
+        if self.has_no_revision() || self.has_lost_majority(is_listed) {
+            let to_mirrored =
+                |object| MirroredObject::new(revision, object, whereabouts_of(object));
+            self.objects = objects.iter().map(to_mirrored).collect();
             self.objects
-                .sort_by(|a, b| a.passed.name.cmp(&b.passed.name));
-            self.gone.clear();
-            self.kept_since = revision;
-            self.last_moved = revision;
+                .sort_by(|a, b| a.object.name.cmp(&b.object.name));
+            self.removed.clear();
+            self.removals_since = revision;
+            self.last_routing_change = revision;
             return;
         }
-        let missing = self.objects.iter().filter(|held| !is_listed(held));
-        let missing: Vec<String> = missing.map(|held| held.passed.name.clone()).collect();
+        let missing = self.objects.iter().filter(|mirrored| !is_listed(mirrored));
+        let missing: Vec<String> = missing
+            .map(|mirrored| mirrored.object.name.clone())
+            .collect();
         for name in missing {
             self.remove(revision, &name);
         }
         for object in objects {
             let known = self
-                .place_of(&object.name)
-                .map(|at| &self.objects[at].passed);
-            if !known.is_ok_and(|known| known.is(object)) {
+                .position_of(&object.name)
+                .map(|at| &self.objects[at].object);
+            if !known.is_ok_and(|known| known.is_same_state(object)) {
                 self.put(revision, object, whereabouts_of(object));
             }
         }
     }
 
-    const fn heard_of_none(&self) -> bool {
+    const fn has_no_revision(&self) -> bool {
         self.revision == 0
     }
 
-    /// A service, or the kind as a whole where objects tell of none, has lost half of its objects.
-    fn has_lost_most(&self, is_listed: impl Fn(&Mirrored) -> bool) -> bool {
-        let service_of = |held: &Mirrored| held.whereabouts.map(|told| told.service);
+    /// Whether a service has lost more than half of its objects. Objects without a service count
+    /// as one service.
+    fn has_lost_majority(&self, is_listed: impl Fn(&MirroredObject) -> bool) -> bool {
+        let service_of =
+            |mirrored: &MirroredObject| mirrored.whereabouts.map(|routing| routing.service);
         let mut services: Vec<(Option<u64>, bool)> = self
             .objects
             .iter()
-            .map(|held| (service_of(held), is_listed(held)))
+            .map(|mirrored| (service_of(mirrored), is_listed(mirrored)))
             .collect();
         services.sort_unstable();
         let mut services = services.chunk_by(|a, b| a.0 == b.0);
-        services.any(|held| {
-            let left = held.iter().filter(|(_, is_listed)| *is_listed).count();
-            left * 2 < held.len()
+        services.any(|of_service| {
+            let left = of_service
+                .iter()
+                .filter(|(_, is_listed)| *is_listed)
+                .count();
+            left * 2 < of_service.len()
         })
     }
 
-    fn place_of(&self, name: &str) -> Result<usize, usize> {
+    fn position_of(&self, name: &str) -> Result<usize, usize> {
         let objects = &self.objects;
-        objects.binary_search_by(|held| held.passed.name.as_str().cmp(name))
+        objects.binary_search_by(|mirrored| mirrored.object.name.as_str().cmp(name))
     }
 
     fn put(&mut self, revision: u64, object: &Object, whereabouts: Option<Whereabouts>) {
-        let mut new = Mirrored::new(revision, object, whereabouts);
-        match self.place_of(&object.name) {
+        let mut new = MirroredObject::new(revision, object, whereabouts);
+        match self.position_of(&object.name) {
             Ok(at) => {
-                let held = &mut self.objects[at];
-                let service = |told: Option<Whereabouts>| told.map(|told| told.service);
-                if held.whereabouts == whereabouts && whereabouts.is_some() {
-                    new.moved = held.moved;
-                } else if service(held.whereabouts) != service(whereabouts) {
-                    // Whoever follows the service that it has left has to hear of it too.
+                let mirrored = &mut self.objects[at];
+                let service = |routing: Option<Whereabouts>| routing.map(|routing| routing.service);
+                if mirrored.whereabouts == whereabouts && whereabouts.is_some() {
+                    new.routing_revision = mirrored.routing_revision;
+                } else if service(mirrored.whereabouts) != service(whereabouts) {
+                    // Nodes that follow the previous service need this change too.
                     new.whereabouts = None;
                 }
-                *held = new;
+                *mirrored = new;
             }
             Err(at) => self.objects.insert(at, new),
         }
-        let at = self.place_of(&object.name).unwrap_or_default();
-        let moved = self.objects[at].moved;
-        self.last_moved = self.last_moved.max(moved);
+        let at = self.position_of(&object.name).unwrap_or_default();
+        let routing_revision = self.objects[at].routing_revision;
+        self.last_routing_change = self.last_routing_change.max(routing_revision);
     }
 
     fn remove(&mut self, revision: u64, name: &str) {
-        if let Ok(at) = self.place_of(name) {
+        if let Ok(at) = self.position_of(name) {
             self.objects.remove(at);
         }
-        self.last_moved = revision;
-        self.gone.push_back((revision, name.to_owned()));
-        while self.gone.len() > GONE_KEPT {
-            if let Some((revision, _)) = self.gone.pop_front() {
-                self.kept_since = revision;
+        self.last_routing_change = revision;
+        self.removed.push_back((revision, name.to_owned()));
+        while self.removed.len() > MAX_REMOVED_NAMES {
+            if let Some((revision, _)) = self.removed.pop_front() {
+                self.removals_since = revision;
             }
         }
     }
 }
 
-impl Mirrored {
+impl MirroredObject {
     fn new(revision: u64, object: &Object, whereabouts: Option<Whereabouts>) -> Self {
         Self {
-            passed: passed(object),
+            object: relayed_object(object),
             whereabouts,
-            changed: revision,
-            moved: revision,
+            changed_revision: revision,
+            routing_revision: revision,
         }
     }
 
-    /// An object that tells no whereabouts is for everyone, as it moves.
-    fn part_for(&self, question: &Question) -> Part {
+    /// Which changes the request selects. Objects without a routing digest are sent to every node.
+    fn relevance_for(&self, question: &Question) -> Relevance {
         match (&question.parts, self.whereabouts) {
-            (None, _) => Part::Everything,
-            (Some(parts), Some(told)) => parts.part_of(told),
-            (Some(_), None) => Part::Whereabouts,
+            (None, _) => Relevance::AllChanges,
+            (Some(parts), Some(routing)) => parts.relevance_of(routing),
+            (Some(_), None) => Relevance::RoutingChanges,
         }
     }
 }
 
 impl Passed {
-    /// It is this very state of an object.
-    fn is(&self, object: &Object) -> bool {
+    /// Whether both describe the same state of an object.
+    fn is_same_state(&self, object: &Object) -> bool {
         self.revision == object.revision
             && self.reported == object.reported
             && self
@@ -634,7 +661,7 @@
                 .is_some_and(|value| value.get() == object.value.get())
     }
 
-    fn gone(revision: u64, name: &str) -> Self {
+    fn removed(revision: u64, name: &str) -> Self {
         Self {
             name: name.to_owned(),
             revision,
@@ -644,7 +671,7 @@
     }
 }
 
-fn passed(object: &Object) -> Passed {
+fn relayed_object(object: &Object) -> Passed {
     Passed {
         name: object.name.clone(),
         revision: object.revision,
