--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What this node holds to be true of the platform: configuration, upstreams,
-//! versions of weights. Read without locks; replaced whole.
+//! This node's view of the platform: configuration, upstreams and versions of weights. Reads take
+//! no locks; updates replace a value as a whole.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -28,51 +28,51 @@
 use crate::model::ModelVersion;
 use crate::model::Upstream;
 
-/// Entries of upstreams lapse while the store is down, and are back within two
-/// seconds of its return. For this long after a gap, entries that are missing are
-/// kept for a service that has lost most of them, so that an outage of the store
-/// does not empty the list. A service that has lost a few has lost them for good.
-const ENTRIES_RETURN: Duration = Duration::from_secs(2);
+/// Entries of upstreams expire while the store is down, and return within two seconds after it is
+/// back. For this long after a gap, missing entries are kept for a service that has lost most of
+/// them, so that an outage of the store does not empty the list. If a service has lost only a
+/// few, these upstreams are really gone.
+const ENTRY_RETENTION: Duration = Duration::from_secs(2);
 
-/// A follower hears of the configuration at least this often where all is well, its longest
-/// watch and a seed that fell silent included.
-const CONFIG_YOUNG: Duration = Duration::from_millis(3_500);
+/// Longest time between two confirmations of the configuration in normal operation, including
+/// the longest watch and a seed that fell silent.
+const CONFIG_FRESH_FOR: Duration = Duration::from_millis(3_500);
 
-/// More upstreams than this that come together are one line in the log.
-const LISTED_ONE_BY_ONE: usize = 4;
+/// If more upstreams than this appear together, they are logged as one event.
+const MAX_SEPARATE_EVENTS: usize = 4;
 
 /// An upstream in the list.
 #[derive(Debug, Clone)]
-struct Listed {
+struct UpstreamEntry {
     /// Name of its object.
     name: String,
     upstream: Arc<Upstream>,
-    /// It is gone from the platform's list, and is dropped here at this time.
+    /// When this node drops the entry, if it is missing from the platform's list.
     drop_at: Option<Instant>,
 }
 
-/// What a fleet works with.
+/// Dependencies of a [`Fleet`].
 #[derive(Debug)]
 pub struct FleetParts {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
     pub boot_clock: Arc<dyn BootClock>,
-    /// Events.
+    /// Event log.
     pub journal: Journal,
-    /// Reads what the platform's objects say.
+    /// Decodes the platform's objects.
     pub dialect: Arc<dyn Dialect>,
 }
 
-/// Shared state of a node.
+/// A node's view of the platform, shared by its tasks.
 #[derive(Debug)]
 pub struct Fleet {
     clock: Arc<dyn Clock>,
     journal: Journal,
     dialect: Arc<dyn Dialect>,
     config: ArcSwap<Config>,
-    /// When its follower was last told that it is the newest.
-    config_heard: ArcSwapOption<Instant>,
+    /// When the configuration was last confirmed to be the newest.
+    config_confirmed_at: ArcSwapOption<Instant>,
     boot_clock: Arc<dyn BootClock>,
     /// When the configuration was the store's newest, in milliseconds since the system
     /// started; 0 if it never was.
@@ -82,97 +82,99 @@
     /// Sorted by model.
     named: ArcSwap<Vec<ModelVersion>>,
     demands: Arc<Demands>,
-    /// Entries of the whole list of upstreams, as far as seeds told.
+    /// Number of entries in the full list of upstreams, as reported by the store or a seed.
     listed: AtomicUsize,
-    /// All of them are known here.
+    /// This node knows all of them.
     knows_all: AtomicBool,
     changed: Notify,
 }
 
-/// The list of upstreams as its follower keeps it.
+/// The list of upstreams, as maintained by its follower.
 #[derive(Debug, Default)]
 pub struct UpstreamList {
     /// Sorted by name.
-    listed: Vec<Listed>,
-    /// Entries that name no upstream, with the revisions at which they were logged.
+    entries: Vec<UpstreamEntry>,
+    /// Invalid entries, with the revisions at which they were logged.
     refused: Vec<(String, u64)>,
-    regained: Option<Instant>,
-    /// What has changed since it was last published.
+    /// When the list was last received in full again.
+    relisted_at: Option<Instant>,
+    /// Changes since the list was last published.
     unpublished: Unpublished,
 }
 
-/// What has changed in a list of upstreams.
+/// Kinds of unpublished changes in a list of upstreams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Unpublished {
-    /// Anything, versions of weights included.
-    anything: bool,
-    /// Which upstreams there are, where they answer or whether they leave.
+    /// Any change, including versions of weights.
+    any_change: bool,
+    /// The set of upstreams, or a property that matters for routing.
     whereabouts: bool,
 }
 
-/// What came of a change of the list of upstreams.
+/// Result of a change to the list of upstreams.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct TakenUpstreams {
-    /// Addresses at which another start of an upstream answers than before.
+    /// Addresses at which an upstream has restarted.
     pub restarted: Vec<SocketAddr>,
-    /// More changed than versions of weights.
+    /// Something other than versions of weights changed.
     pub whereabouts: bool,
 }
 
-/// What came of entries that are taken in together.
+/// Changes by a batch of entries.
 #[derive(Debug, Default)]
-struct TakenEntries {
-    /// Names of upstreams that are new or begin to leave.
-    listed: Vec<String>,
-    /// Addresses at which another start of an upstream answers than before.
+struct EntryChanges {
+    /// Names of entries that are new or whose `leaving` flag changed.
+    names: Vec<String>,
+    /// Addresses at which an upstream has restarted.
     restarted: Vec<SocketAddr>,
 }
 
-/// What is known of one service's entries.
+/// Statistics of one service's entries.
 #[derive(Debug)]
 struct ServiceEntries<'a> {
     service: &'a str,
-    listed: usize,
-    /// Entries that are in the platform's list.
+    total: usize,
+    /// Entries that are still in the platform's list.
     left: usize,
-    /// Some say when their upstream started.
-    has_births: bool,
+    /// Some entries state when their upstream started.
+    has_start_times: bool,
 }
 
 impl ServiceEntries<'_> {
-    /// The entry does not say when its upstream started, though others of its service do:
-    /// another writer made it.
+    /// Whether the entry comes from another writer: it does not state when its upstream started,
+    /// although other entries of its service do.
     fn is_foreign(&self, upstream: &Upstream) -> bool {
-        self.has_births && upstream.instance.born_ms == 0
+        self.has_start_times && upstream.instance.born_ms == 0
     }
 
-    /// Fewer than half of its entries are left.
-    const fn has_lost_most(&self) -> bool {
-        self.left * 2 < self.listed
+    /// Whether fewer than half of its entries are left.
+    const fn has_lost_majority(&self) -> bool {
+        self.left * 2 < self.total
     }
 }
 
 impl UpstreamList {
-    /// One pass over the list: its cost does not grow with the square of the entries.
+    /// Statistics of each service, sorted by service. Computed in one pass: the cost does not
+    /// grow with the square of the number of entries.
     fn services(&self) -> Vec<ServiceEntries<'_>> {
         let mut services: Vec<ServiceEntries<'_>> = Vec::new();
-        for held in &self.listed {
-            let service = held.upstream.service.as_str();
+        for entry in &self.entries {
+            let service = entry.upstream.service.as_str();
             let found = services.binary_search_by(|known| known.service.cmp(service));
             let at = found.unwrap_or_else(|at| {
                 let new = ServiceEntries {
                     service,
-                    listed: 0,
+                    total: 0,
                     left: 0,
-                    has_births: false,
+                    has_start_times: false,
                 };
                 services.insert(at, new);
                 at
             });
             let entries = &mut services[at];
-            entries.listed += 1;
-            entries.left += usize::from(held.drop_at.is_none());
-            entries.has_births |= held.upstream.instance.born_ms != 0;
+            entries.total += 1;
+            entries.left += usize::from(entry.drop_at.is_none());
+            entries.has_start_times |= entry.upstream.instance.born_ms != 0;
         }
         services
     }
@@ -180,32 +182,32 @@
     /// Upstreams that may be used, sorted by instance.
     fn usable(&self) -> Vec<Arc<Upstream>> {
         let services = self.services();
-        let is_usable = |held: &&Listed| {
-            let service = held.upstream.service.as_str();
+        let is_usable = |entry: &&UpstreamEntry| {
+            let service = entry.upstream.service.as_str();
             let found = services.binary_search_by(|known| known.service.cmp(service));
             found.is_ok_and(|at| {
                 let entries = &services[at];
-                let is_kept = held.drop_at.is_none() || entries.has_lost_most();
-                is_kept && !entries.is_foreign(&held.upstream)
+                let is_kept = entry.drop_at.is_none() || entries.has_lost_majority();
+                is_kept && !entries.is_foreign(&entry.upstream)
             })
         };
-        let usable = self.listed.iter().filter(is_usable);
+        let usable = self.entries.iter().filter(is_usable);
         let mut upstreams: Vec<Arc<Upstream>> =
-            usable.map(|held| Arc::clone(&held.upstream)).collect();
+            usable.map(|entry| Arc::clone(&entry.upstream)).collect();
         upstreams.sort_by(|a, b| a.instance.cmp(&b.instance));
         upstreams
     }
 
-    const fn note_whereabouts(&mut self) {
+    const fn mark_routing_changed(&mut self) {
         self.unpublished = Unpublished {
-            anything: true,
+            any_change: true,
             whereabouts: true,
         };
     }
 }
 
 impl Fleet {
-    /// Nothing is known yet.
+    /// Creates an empty view.
     #[must_use]
     pub fn new(parts: FleetParts) -> Arc<Self> {
         Arc::new(Self {
@@ -213,7 +215,7 @@
             journal: parts.journal,
             dialect: parts.dialect,
             config: ArcSwap::default(),
-            config_heard: ArcSwapOption::empty(),
+            config_confirmed_at: ArcSwapOption::empty(),
             boot_clock: parts.boot_clock,
             config_as_of_ms: AtomicU64::new(0),
             upstreams: ArcSwap::default(),
@@ -225,21 +227,23 @@
         })
     }
 
-    /// The configuration in force; its version is 0 as long as none is known.
+    /// The configuration in force; version 0 if none is known yet.
     #[must_use]
     pub fn config(&self) -> Arc<Config> {
         self.config.load_full()
     }
 
-    /// The follower of the configuration was told all there was of it then.
+    /// Records that this configuration is the newest, and was so in the store at `as_of` (time
+    /// since boot; `None` if unknown).
     pub fn hear_of_config(&self, as_of: Option<Duration>) {
-        self.config_heard.store(Some(Arc::new(self.clock.now())));
+        self.config_confirmed_at
+            .store(Some(Arc::new(self.clock.now())));
         let as_of_ms = as_of.map_or(0, |as_of| as_of.as_millis() as u64);
         self.config_as_of_ms.fetch_max(as_of_ms, Ordering::AcqRel);
     }
 
-    /// Time for which the store may have had a newer configuration, a suspended VM's time
-    /// included; `None` if this one was never known to be the newest.
+    /// Time since this configuration was known to be the store's newest, including time in which
+    /// the VM was suspended; `None` if it never was.
     #[must_use]
     pub fn config_age(&self) -> Option<Duration> {
         let as_of_ms = self.config_as_of_ms.load(Ordering::Acquire);
@@ -251,18 +255,17 @@
         (as_of_ms > 0).then(age)
     }
 
-    /// The configuration was the newest one moments ago.
+    /// Whether the configuration was confirmed to be the newest within [`CONFIG_FRESH_FOR`].
     ///
-    /// **Failure:** a node that was cut off, or had no time for its follower, says of a route
-    /// that was added meanwhile that there is none, and its caller does not come again.
-    /// **Guard:** it says so only while it hears of the configuration, which is at least
-    /// every [`CONFIG_YOUNG`]; else that it cannot tell yet.
+    /// A node that was partitioned or overloaded may have missed a new route. If it answered that
+    /// the route does not exist, the caller would not retry. So it answers this only with a
+    /// recently confirmed configuration, and otherwise that it does not know yet.
     #[must_use]
     pub fn is_config_young(&self) -> bool {
-        let heard = self.config_heard.load();
-        heard
-            .as_ref()
-            .is_some_and(|heard| self.clock.now().duration_since(**heard) < CONFIG_YOUNG)
+        let confirmed_at = self.config_confirmed_at.load();
+        confirmed_at.as_ref().is_some_and(|confirmed_at| {
+            self.clock.now().duration_since(**confirmed_at) < CONFIG_FRESH_FOR
+        })
     }
 
     /// All upstreams that are not gone, sorted by instance.
@@ -271,41 +274,42 @@
         self.upstreams.load_full()
     }
 
-    /// The upstream of a service that answers at an address.
+    /// The upstream of a service at an address.
     #[must_use]
     pub fn upstream_at(&self, service: &str, address: SocketAddr) -> Option<Arc<Upstream>> {
         let upstreams = self.upstreams.load();
         let mut upstreams = upstreams.iter();
-        let found = upstreams.find(|held| held.address == address && held.service == service);
+        let found =
+            upstreams.find(|upstream| upstream.address == address && upstream.service == service);
         found.map(Arc::clone)
     }
 
-    /// The newest version of each model that a trainer named.
+    /// The newest version of each model that a trainer announced.
     #[must_use]
     pub fn named(&self) -> Arc<Vec<ModelVersion>> {
         self.named.load_full()
     }
 
-    /// Samples that steps of the models ask for.
+    /// Number of samples in the largest step of each model.
     #[must_use]
     pub const fn demands(&self) -> &Arc<Demands> {
         &self.demands
     }
 
-    /// Entries of the whole list of upstreams, of which this node may know a part; 0 where
-    /// nobody told.
+    /// Number of entries in the full list of upstreams, of which this node may know a part; 0 if
+    /// unknown.
     #[must_use]
     pub fn listed(&self) -> usize {
         self.listed.load(Ordering::Relaxed)
     }
 
-    /// Whether every entry of the list of upstreams is known here, not only a part.
+    /// Whether this node knows every entry of the list of upstreams, not only a part.
     #[must_use]
     pub fn knows_all(&self) -> bool {
         self.knows_all.load(Ordering::Relaxed)
     }
 
-    /// What of the list of upstreams is followed.
+    /// Sets the size of the full list of upstreams and whether this node follows all of it.
     pub fn take_extent(&self, extent: Extent) {
         if let Some(listed) = extent.listed {
             self.listed.store(listed, Ordering::Relaxed);
@@ -320,7 +324,7 @@
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Before the look, so that a change in between is not missed.
+            // Registers before the check, so that a change in between is not missed.
             changed.as_mut().enable();
             if self.config.load().version > 0 {
                 return;
@@ -329,20 +333,20 @@
         }
     }
 
-    /// Waits for a change of anything above.
+    /// Waits for a change of the configuration, the upstreams or the versions of weights.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Takes in a configuration; one older than the one in force changes nothing,
-    /// since a read from before an outage must not take back what callers saw.
+    /// Applies a configuration if it is newer than the one in force: a stale read from before an
+    /// outage must not revert what callers have seen.
     pub fn take_config(&self, change: Change) {
         for object in change.into_objects() {
-            self.take_one_config(&object);
+            self.apply_config_object(&object);
         }
     }
 
-    fn take_one_config(&self, object: &Object) {
+    fn apply_config_object(&self, object: &Object) {
         match self.dialect.config(object) {
             Ok(mut config) if config.version > self.config.load().version => {
                 config.sort();
@@ -362,7 +366,7 @@
         }
     }
 
-    /// Takes in versions that trainers named; they only grow.
+    /// Applies versions that trainers announced. Older versions are ignored.
     pub fn take_version(&self, change: Change) {
         let mut named = Vec::clone(&self.named.load());
         for object in change.into_objects() {
@@ -376,7 +380,7 @@
                     continue;
                 }
             };
-            match named.binary_search_by(|held: &ModelVersion| held.model.cmp(&version.model)) {
+            match named.binary_search_by(|known: &ModelVersion| known.model.cmp(&version.model)) {
                 Ok(at) if named[at].version >= version.version => continue,
                 Ok(at) => named[at].version = version.version,
                 Err(at) => named.insert(at, version.clone()),
@@ -390,65 +394,65 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in changes of the list of upstreams, and publishes them together.
+    /// Applies changes to the list of upstreams, and publishes them together.
     pub fn take_upstreams(&self, list: &mut UpstreamList, changes: Vec<Change>) -> TakenUpstreams {
         let now = self.clock.now();
-        let mut taken = TakenEntries::default();
+        let mut changed_entries = EntryChanges::default();
         for change in changes {
             match change {
-                Change::All(objects) => self.take_all(list, &objects, now, &mut taken),
-                Change::Put(object) => self.put(list, &object, &mut taken),
+                Change::All(objects) => self.apply_list(list, &objects, now, &mut changed_entries),
+                Change::Put(object) => self.put(list, &object, &mut changed_entries),
                 Change::Gone(name) => {
-                    list.refused.retain(|(held, _)| *held != name);
+                    list.refused.retain(|(refused, _)| *refused != name);
                     self.remove(list, &name, now);
                 }
             }
         }
-        self.journal_listed(list, &taken.listed);
+        self.log_listed(list, &changed_entries.names);
         TakenUpstreams {
-            restarted: taken.restarted,
+            restarted: changed_entries.restarted,
             whereabouts: self.publish(list),
         }
     }
 
-    fn take_all(
+    fn apply_list(
         &self,
         list: &mut UpstreamList,
         objects: &[Object],
         now: Instant,
-        taken: &mut TakenEntries,
+        changed_entries: &mut EntryChanges,
     ) {
-        if !list.listed.is_empty() {
-            list.regained = Some(now);
+        if !list.entries.is_empty() {
+            list.relisted_at = Some(now);
         }
         let mut names: Vec<&str> = objects.iter().map(|object| object.name.as_str()).collect();
         names.sort_unstable();
         let is_listed = |name: &str| names.binary_search(&name).is_ok();
-        let held = list.listed.iter().map(|held| held.name.clone());
-        let missing: Vec<String> = held.filter(|name| !is_listed(name)).collect();
+        let known = list.entries.iter().map(|entry| entry.name.clone());
+        let missing: Vec<String> = known.filter(|name| !is_listed(name)).collect();
         for name in missing {
             self.remove(list, &name, now);
         }
         list.refused.retain(|(name, _)| is_listed(name));
         for object in objects {
-            self.put(list, object, taken);
+            self.put(list, object, changed_entries);
         }
     }
 
-    /// Upstreams that are new or begin to leave: a line each, or one for all where many come
-    /// together.
-    fn journal_listed(&self, list: &UpstreamList, names: &[String]) {
-        if names.len() > LISTED_ONE_BY_ONE {
-            let (entries, news) = (list.listed.len(), names.len());
+    /// Logs entries that are new or whose `leaving` flag changed: one event each, or a single
+    /// event if there are many.
+    fn log_listed(&self, list: &UpstreamList, names: &[String]) {
+        if names.len() > MAX_SEPARATE_EVENTS {
+            let (entries, news) = (list.entries.len(), names.len());
             let fields: [(&str, &dyn Display); 2] = [("entries", &entries), ("news", &news)];
             return self.journal.event("upstreams_listed", &fields);
         }
         for name in names {
-            let held = &list.listed;
-            let Ok(at) = held.binary_search_by(|held| held.name.cmp(name)) else {
+            let known = &list.entries;
+            let Ok(at) = known.binary_search_by(|entry| entry.name.cmp(name)) else {
                 continue;
             };
-            let (instance, leaving) = (&held[at].upstream.instance, held[at].upstream.leaving);
+            let (instance, leaving) = (&known[at].upstream.instance, known[at].upstream.leaving);
             self.journal.event(
                 "upstream_listed",
                 &[("upstream", instance), ("leaving", &leaving)],
@@ -456,63 +460,70 @@
         }
     }
 
-    /// Drops upstreams whose time has come; tells whether there were any.
+    /// Drops missing entries that were kept long enough. Returns whether anything other than
+    /// versions of weights changed.
     pub fn drop_gone(&self, list: &mut UpstreamList) -> bool {
         let now = self.clock.now();
-        let before = list.listed.len();
-        list.listed
-            .retain(|held| held.drop_at.is_none_or(|drop_at| drop_at > now));
-        if list.listed.len() != before {
-            list.note_whereabouts();
+        let before = list.entries.len();
+        list.entries
+            .retain(|entry| entry.drop_at.is_none_or(|drop_at| drop_at > now));
+        if list.entries.len() != before {
+            list.mark_routing_changed();
         }
         self.publish(list)
     }
 
-    fn put(&self, list: &mut UpstreamList, object: &Object, taken: &mut TakenEntries) {
+    fn put(&self, list: &mut UpstreamList, object: &Object, changed_entries: &mut EntryChanges) {
         let upstream = match self.dialect.upstream(object) {
             Ok(upstream) => upstream,
             Err(error) => {
-                self.refuse(list, object, &error);
+                self.reject(list, object, &error);
                 return;
             }
         };
         list.refused.retain(|(name, _)| *name != object.name);
-        let at = list.listed.partition_point(|held| held.name < object.name);
-        let known = list.listed.get(at).filter(|held| held.name == object.name);
-        let is_news = known.is_none_or(|held| held.upstream.leaving != upstream.leaving);
-        let before = known.map(|held| &held.upstream.instance);
+        let at = list
+            .entries
+            .partition_point(|entry| entry.name < object.name);
+        let known = list
+            .entries
+            .get(at)
+            .filter(|entry| entry.name == object.name);
+        let should_log = known.is_none_or(|entry| entry.upstream.leaving != upstream.leaving);
+        let before = known.map(|entry| &entry.upstream.instance);
         let restarted = before.is_some_and(|before| *before != upstream.instance);
         if restarted {
             self.journal
                 .event("upstream_restarted", &[("upstream", &upstream.instance)]);
         }
         match known {
-            Some(held) if held.drop_at.is_none() && held.upstream.is_where(&upstream) => {
-                list.unpublished.anything |= held.upstream.models != upstream.models;
+            Some(entry) if entry.drop_at.is_none() && entry.upstream.is_where(&upstream) => {
+                list.unpublished.any_change |= entry.upstream.models != upstream.models;
             }
-            _ => list.note_whereabouts(),
+            _ => list.mark_routing_changed(),
         }
         let address = upstream.address;
-        let listed = Listed {
+        let new_entry = UpstreamEntry {
             name: object.name.clone(),
             upstream: Arc::new(upstream),
             drop_at: None,
         };
-        match list.listed.get_mut(at) {
-            Some(held) if held.name == object.name => *held = listed,
-            _ => list.listed.insert(at, listed),
+        match list.entries.get_mut(at) {
+            Some(entry) if entry.name == object.name => *entry = new_entry,
+            _ => list.entries.insert(at, new_entry),
         }
-        if is_news {
-            taken.listed.push(object.name.clone());
+        if should_log {
+            changed_entries.names.push(object.name.clone());
         }
         if restarted {
-            taken.restarted.push(address);
+            changed_entries.restarted.push(address);
         }
     }
 
-    /// An entry of another writer names no upstream, and takes the place of the entry of
-    /// its name. It is logged once for each of its changes, however often it is listed.
-    fn refuse(&self, list: &mut UpstreamList, object: &Object, cause: &BadMessage) {
+    /// Handles an invalid entry, which another writer may have stored over a valid one of the same
+    /// name: the upstream is removed. Each revision of the entry is logged once, however often it
+    /// is listed.
+    fn reject(&self, list: &mut UpstreamList, object: &Object, cause: &BadMessage) {
         let refused = (object.name.clone(), object.revision);
         if !list.refused.contains(&refused) {
             self.journal.event(
@@ -522,35 +533,37 @@
             list.refused.retain(|(name, _)| *name != object.name);
             list.refused.push(refused);
         }
-        let before = list.listed.len();
-        list.listed.retain(|held| held.name != object.name);
-        if list.listed.len() != before {
-            list.note_whereabouts();
+        let before = list.entries.len();
+        list.entries.retain(|entry| entry.name != object.name);
+        if list.entries.len() != before {
+            list.mark_routing_changed();
         }
     }
 
     fn remove(&self, list: &mut UpstreamList, name: &str, now: Instant) {
         let Ok(at) = list
-            .listed
-            .binary_search_by(|held| held.name.as_str().cmp(name))
+            .entries
+            .binary_search_by(|entry| entry.name.as_str().cmp(name))
         else {
             return;
         };
-        let kept_until = list.regained.map(|regained| regained + ENTRIES_RETURN);
+        let kept_until = list
+            .relisted_at
+            .map(|relisted_at| relisted_at + ENTRY_RETENTION);
         match kept_until {
-            Some(until) if until > now => list.listed[at].drop_at = Some(until),
+            Some(until) if until > now => list.entries[at].drop_at = Some(until),
             _ => {
-                list.listed.remove(at);
+                list.entries.remove(at);
             }
         }
-        list.note_whereabouts();
+        list.mark_routing_changed();
         self.journal.event("upstream_gone", &[("upstream", &name)]);
     }
 
-    /// Publishes what has changed; tells whether more did than versions of weights.
+    /// Publishes the changes. Returns whether anything other than versions of weights changed.
     fn publish(&self, list: &mut UpstreamList) -> bool {
         let unpublished = std::mem::take(&mut list.unpublished);
-        if unpublished.anything {
+        if unpublished.any_change {
             self.upstreams.store(Arc::new(list.usable()));
             self.changed.notify_waiters();
         }
