--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -11,10 +11,10 @@
 use hyper::body::Incoming;
 use memchr::memmem;
 
+use crate::connection_pool::Exchange;
+use crate::connection_pool::LinkError;
 use crate::dialect::DraftRequest;
 use crate::dialect::StreamEvent;
-use crate::link::Exchange;
-use crate::link::LinkError;
 use crate::model::Item;
 use crate::model::Upstream;
 use crate::shared::Shared;
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -13,6 +13,7 @@
 use rand::Rng;
 
 use crate::change::Change;
+use crate::connection_pool::Links;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
 use crate::dialect::Kind;
@@ -23,7 +24,6 @@
 use crate::duty::BootClock;
 use crate::interest::Interest;
 use crate::interest::Wanted;
-use crate::link::Links;
 use crate::outage::Outage;
 use crate::relay::Relay;
 use crate::relay::SEED_WATCH;
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -30,6 +30,8 @@
 use http_body_util::Full;
 
 use crate::change::Change;
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::dialect::Kind;
 use crate::dialect::Object;
 use crate::dialect::StoreError;
@@ -40,8 +42,6 @@
 use crate::duty::HolderAnswer;
 use crate::duty::VERIFIED_FOR;
 use crate::duty::wait_after;
-use crate::link::LinkError;
-use crate::link::Links;
 use crate::outage::Outage;
 use crate::reload::InForce;
 use crate::store::Created;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod account;
 pub mod authentication;
 pub mod change;
+pub mod connection_pool;
 pub mod demand;
 pub mod detour;
 pub mod dialect;
@@ -24,7 +25,6 @@
 pub mod gates;
 pub mod holder;
 pub mod interest;
-pub mod link;
 pub mod live;
 pub mod mechanisms;
 pub mod model;
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -36,10 +36,10 @@
 use hyper::body::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::connection_pool::Lease;
+use crate::connection_pool::LinkError;
 use crate::dialect::RoutedCall;
 use crate::gates::Gates;
-use crate::link::Lease;
-use crate::link::LinkError;
 use crate::mechanisms::Mechanism;
 use crate::model::Route;
 use crate::model::RouteKind;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -23,6 +23,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
+use crate::connection_pool::Links;
 use crate::detour::Detour;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
@@ -41,7 +42,6 @@
 use crate::follow::follow;
 use crate::holder::Holder;
 use crate::holder::HolderParts;
-use crate::link::Links;
 use crate::live::Live;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -17,6 +17,7 @@
 use futures_util::future::join_all;
 use rand::Rng;
 
+use crate::connection_pool::Links;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
 use crate::dialect::Kind;
@@ -24,7 +25,6 @@
 use crate::fleet::Fleet;
 use crate::follow::list;
 use crate::holder::Holder;
-use crate::link::Links;
 use crate::model::ScalingLimits;
 use crate::model::Service;
 use crate::model::Upstream;
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -21,10 +21,10 @@
 use http_body_util::Limited;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::connection_pool::Exchange;
+use crate::connection_pool::LinkError;
 use crate::dialect::RewardRequest;
 use crate::gates::Gates;
-use crate::link::Exchange;
-use crate::link::LinkError;
 use crate::live::pick_target;
 use crate::mechanisms::Mechanism;
 use crate::model::Item;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -6,11 +6,11 @@
 use firweir::process::log::Journal;
 use firweir_policy::work::ReportedLoad;
 
+use crate::connection_pool::Links;
 use crate::dialect::Dialect;
 use crate::duty::BootClock;
 use crate::fleet::Fleet;
 use crate::interest::Interest;
-use crate::link::Links;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
 use crate::reload::InForce;
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -14,6 +14,8 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::detour::Detour;
 use crate::detour::DetourFailure;
 use crate::detour::to_node;
@@ -24,8 +26,6 @@
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
-use crate::link::LinkError;
-use crate::link::Links;
 
 /// The store answers in milliseconds; past this it counts as not answering.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -10,10 +10,10 @@
 use http::StatusCode;
 use http::request;
 
+use crate::connection_pool::LinkError;
 use crate::dialect::AskedCall;
 use crate::dialect::Question;
 use crate::dialect::StoreError;
-use crate::link::LinkError;
 use crate::respond::Outcome;
 use crate::respond::empty;
 use crate::respond::refusal;
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -13,9 +13,9 @@
 use http::Uri;
 use http_body_util::Full;
 
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::follow::Seeds;
-use crate::link::LinkError;
-use crate::link::Links;
 use crate::roster::HOME_PATH;
 use crate::roster::HomeOffer;
 use crate::roster::HomeQuestion;
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -22,6 +22,7 @@
 use http::request;
 use tokio::sync::watch;
 
+use crate::connection_pool::Links;
 use crate::dialect::AskedCall;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
@@ -32,7 +33,6 @@
 use crate::drafting::Drafting;
 use crate::duty::BootClock;
 use crate::follow::list;
-use crate::link::Links;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
 use crate::model::ItemResult;
--- a/crates/node/src/submission/runners.rs
+++ b/crates/node/src/submission/runners.rs
@@ -19,9 +19,9 @@
 use http::request;
 use http_body_util::Full;
 
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::dialect::Question;
-use crate::link::LinkError;
-use crate::link::Links;
 
 /// Timeout of a forwarded question, added to the wait that it asks for. Clients allow more
 /// than that beyond their wait.
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -20,10 +20,10 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::duty::BootClock;
 use crate::holder::Holder;
-use crate::link::LinkError;
-use crate::link::Links;
 use crate::reload::InForce;
 use crate::usage::collect::Collected;
 use crate::usage::collect::Told;
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -14,6 +14,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::connection_pool::Links;
 use crate::dialect::Dialect;
 use crate::dialect::DutyAnswer;
 use crate::dialect::Freshness;
@@ -23,7 +24,6 @@
 use crate::dialect::UsageReport;
 use crate::follow::list;
 use crate::holder::Holder;
-use crate::link::Links;
 use crate::reload::InForce;
 use crate::settings::UsageSettings;
 use crate::store::Created;
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -20,6 +20,8 @@
 use firweir_policy::work::UpstreamKey;
 use rand::Rng;
 
+use crate::connection_pool::LinkError;
+use crate::connection_pool::Links;
 use crate::dialect::Dialect;
 use crate::dialect::OrderAnswer;
 use crate::dialect::WeightOrder;
@@ -29,8 +31,6 @@
 use crate::fleet::Fleet;
 use crate::holder::Holder;
 use crate::interest::Interest;
-use crate::link::LinkError;
-use crate::link::Links;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
 use crate::model::Instance;
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use firweir::process::clock::SystemClock;
-use firweir_node::link::Links;
+use firweir_node::connection_pool::Links;
 use http::Request;
 use http_body_util::Full;
 use tokio::io::AsyncReadExt;
