--- a/crates/node/src/connection_pool.rs
+++ b/crates/node/src/connection_pool.rs
@@ -67,7 +67,7 @@
 /// and a list is about as large.
 const ANSWER_LIMIT_BYTES: usize = 16 << 20;
 
-impl LinkError {
+impl CallError {
     /// No byte of the request can have reached the other side.
     #[must_use]
     pub const fn is_not_sent(self) -> bool {
@@ -78,7 +78,7 @@
 quick_error! {
     /// Why a request brought no whole answer.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum LinkError {
+    pub enum CallError {
         /// Nothing listens at the address; no byte of the request was sent.
         Refused {
             display("connection refused")
@@ -119,44 +119,44 @@
 }
 
 /// A connection in use. Dropping it closes the connection, which tells the other
-/// side to stop working; [`Lease::keep`] keeps it for the next request.
+/// side to stop working; [`PooledConnection::keep`] keeps it for the next request.
 #[derive(Debug)]
-pub struct Lease {
-    links: Links,
+pub struct PooledConnection {
+    connections: ConnectionPool,
     to: SocketAddr,
     line: Option<Line>,
     idle: Option<Duration>,
 }
 
-impl Lease {
+impl PooledConnection {
     /// Keeps the connection for the next request. The answer must have been read
     /// to its end and belong to the request.
     pub fn keep(mut self) {
         if let (Some(line), Some(idle)) = (self.line.take(), self.idle) {
-            self.links.put(self.to, line, idle);
+            self.connections.put(self.to, line, idle);
         }
     }
 }
 
 /// An answer whose body still arrives.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct StreamingResponse {
     /// The answer.
     pub answer: Response<Incoming>,
     /// Its connection.
-    pub lease: Lease,
+    pub lease: PooledConnection,
 }
 
 /// All connections of a process; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Links {
+pub struct ConnectionPool {
     clock: Arc<dyn Clock>,
     /// The one that was used longest ago first.
     idle: Arc<Mutex<Vec<Idle>>>,
     idle_most: usize,
 }
 
-impl Links {
+impl ConnectionPool {
     /// No connections yet.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
@@ -182,12 +182,12 @@
         &self,
         to: SocketAddr,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Exchange, LinkError> {
+    ) -> Result<StreamingResponse, CallError> {
         if !request.headers().contains_key(header::HOST) {
             let host = to
                 .to_string()
                 .parse()
-                .map_err(|_never| LinkError::NotSent)?;
+                .map_err(|_never| CallError::NotSent)?;
             request.headers_mut().insert(header::HOST, host);
         }
         loop {
@@ -197,19 +197,19 @@
             };
             match line.sender.try_send_request(request).await {
                 Ok(answer) => {
-                    let lease = Lease {
-                        links: self.clone(),
+                    let lease = PooledConnection {
+                        connections: self.clone(),
                         to,
                         line: Some(line),
                         idle: idle_time(answer.headers()),
                     };
-                    return Ok(Exchange { answer, lease });
+                    return Ok(StreamingResponse { answer, lease });
                 }
                 Err(mut failed) => match failed.take_message() {
                     // An idle connection that the other side has closed.
                     Some(unsent) if !fresh => request = unsent,
-                    Some(_) => return Err(LinkError::NotSent),
-                    None => return Err(LinkError::Broken),
+                    Some(_) => return Err(CallError::NotSent),
+                    None => return Err(CallError::Broken),
                 },
             }
         }
@@ -219,22 +219,22 @@
     ///
     /// # Errors
     ///
-    /// As [`Links::send`], and no whole answer in time.
+    /// As [`ConnectionPool::send`], and no whole answer in time.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<Response<Bytes>, LinkError> {
+    ) -> Result<Response<Bytes>, CallError> {
         let whole = async {
             let exchange = self.send(to, request).await?;
             let (head, body) = exchange.answer.into_parts();
             let body = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
-            let body = body.map_err(|_broken| LinkError::Broken)?.to_bytes();
+            let body = body.map_err(|_broken| CallError::Broken)?.to_bytes();
             exchange.lease.keep();
             Ok(Response::from_parts(head, body))
         };
-        let late = |_elapsed| LinkError::Late;
+        let late = |_elapsed| CallError::Late;
         tokio::time::timeout(timeout, whole).await.map_err(late)?
     }
 
@@ -270,18 +270,18 @@
     }
 }
 
-async fn connect(to: SocketAddr) -> Result<Line, LinkError> {
+async fn connect(to: SocketAddr) -> Result<Line, CallError> {
     let opening = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
     let stream = opening
-        .map_err(|_elapsed| LinkError::NotSent)?
+        .map_err(|_elapsed| CallError::NotSent)?
         .map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionRefused => LinkError::Refused,
-            _ => LinkError::NotSent,
+            io::ErrorKind::ConnectionRefused => CallError::Refused,
+            _ => CallError::NotSent,
         })?;
     watch_silence(&stream);
     let (sender, driver) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_closed| LinkError::NotSent)?;
+        .map_err(|_closed| CallError::NotSent)?;
     let driver = tokio::spawn(async move {
         // How the connection ended shows in the request that it carried.
         drop(driver.await);
--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -27,7 +27,7 @@
 use crate::authentication::Denied;
 use crate::authentication::Purpose;
 use crate::authentication::account_of;
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::detour::path_for_store;
 use crate::dialect::AskedCall;
 use crate::dialect::ClientCall;
@@ -107,7 +107,7 @@
     pub(crate) holder: Holder,
     pub(crate) counting: Counting,
     pub(crate) relay: Arc<Relay>,
-    pub(crate) links: Links,
+    pub(crate) connections: ConnectionPool,
     /// Address of the platform's store.
     pub(crate) store: SocketAddr,
     pub(crate) clock: Arc<dyn Clock>,
@@ -279,7 +279,7 @@
         *request.method_mut() = head.method.clone();
         *request.uri_mut() = uri;
         match self
-            .links
+            .connections
             .call(self.store, request, STORE_CALL_TIMEOUT)
             .await
         {
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use memchr::memmem;
 
-use crate::connection_pool::Exchange;
-use crate::connection_pool::LinkError;
+use crate::connection_pool::CallError;
+use crate::connection_pool::StreamingResponse;
 use crate::dialect::DraftRequest;
 use crate::dialect::StreamEvent;
 use crate::model::Item;
@@ -116,11 +116,11 @@
                 return Attempt::Impossible;
             }
         };
-        let sending = self.shared.links.send(self.upstream.address, request);
+        let sending = self.shared.connections.send(self.upstream.address, request);
         let exchange = match tokio::time::timeout(self.first_patience(), sending).await {
             Ok(Ok(exchange)) => exchange,
-            Ok(Err(LinkError::Refused)) => return Attempt::Broken("refused"),
-            Ok(Err(LinkError::NotSent)) => return Attempt::Broken("not-sent"),
+            Ok(Err(CallError::Refused)) => return Attempt::Broken("refused"),
+            Ok(Err(CallError::NotSent)) => return Attempt::Broken("not-sent"),
             Ok(Err(_)) => return Attempt::Broken("no-head"),
             Err(_elapsed) => return Attempt::Broken("head-late"),
         };
@@ -131,8 +131,8 @@
         self.patience.mul_f64(FIRST_EVENT_FACTOR)
     }
 
-    async fn read(&mut self, exchange: Exchange, reached: &mut Reached) -> Attempt {
-        let Exchange { answer, lease } = exchange;
+    async fn read(&mut self, exchange: StreamingResponse, reached: &mut Reached) -> Attempt {
+        let StreamingResponse { answer, lease } = exchange;
         let (head, body) = answer.into_parts();
         let said = self.shared.dialect.answer_head(&head);
         if said.request_id.as_deref() != Some(self.item.id.as_str()) {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use crate::change::Change;
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
 use crate::dialect::Kind;
@@ -133,7 +133,7 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to seeds.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Seeds to ask, and whether others ask this node.
     pub seeds: Seeds,
     /// What this node passes on.
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -165,9 +165,9 @@
         {
             request.headers_mut().insert(MEMBER, member);
         }
-        let (links, interest) = (&self.sources.links, &self.sources.interest);
+        let (connections, interest) = (&self.sources.connections, &self.sources.interest);
         let answer = tokio::select! {
-            answer = links.call(seed, request, POLL_TIMEOUT) => answer.ok()?,
+            answer = connections.call(seed, request, POLL_TIMEOUT) => answer.ok()?,
             // The seed may hold its answer for long, while the new question is urgent.
             () = interest.changed(), if self.kind == Kind::Upstreams => return None,
         };
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -30,8 +30,8 @@
 use http_body_util::Full;
 
 use crate::change::Change;
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Kind;
 use crate::dialect::Object;
 use crate::dialect::StoreError;
@@ -110,7 +110,7 @@
     /// Whether it turns this node away.
     pub outage: Outage,
     /// Connections to nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
@@ -351,7 +351,7 @@
                 Ok(HolderAnswer::Resigned { last_order_ms }) => {
                     Before::Resigned(last_order_ms.map(Duration::from_millis))
                 }
-                Err(LinkError::Refused) => Before::Gone,
+                Err(CallError::Refused) => Before::Gone,
                 Err(_) => Before::Unreached,
             },
             // Whoever held it before another writer spoilt it may act a while longer.
@@ -360,12 +360,12 @@
         self.take(Some(found), before).await;
     }
 
-    async fn ask(&self, holder: SocketAddr) -> Result<HolderAnswer, LinkError> {
+    async fn ask(&self, holder: SocketAddr) -> Result<HolderAnswer, CallError> {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = http::Uri::from_static(HOLDER_PATH);
-        let links = &self.parts.links;
-        let answer = links.call(holder, request, PING_TIMEOUT).await?;
-        serde_json::from_slice(answer.body()).map_err(|_malformed| LinkError::Broken)
+        let connections = &self.parts.connections;
+        let answer = connections.call(holder, request, PING_TIMEOUT).await?;
+        serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 
     async fn take(&self, known: Option<Found>, before: Before) {
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -36,8 +36,8 @@
 use hyper::body::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::connection_pool::Lease;
-use crate::connection_pool::LinkError;
+use crate::connection_pool::CallError;
+use crate::connection_pool::PooledConnection;
 use crate::dialect::RoutedCall;
 use crate::gates::Gates;
 use crate::mechanisms::Mechanism;
@@ -366,17 +366,22 @@
         permit: Permit,
         handed: Handed,
     ) -> Try {
-        let exchange = match self.shared.links.send(upstream.address, request).await {
+        let exchange = match self
+            .shared
+            .connections
+            .send(upstream.address, request)
+            .await
+        {
             Ok(exchange) => exchange,
             Err(error) => {
                 self.note_try(call, upstream, "no-answer");
                 return match error {
-                    LinkError::Refused | LinkError::NotSent => {
+                    CallError::Refused | CallError::NotSent => {
                         handed.did_not_run();
                         permit.finish(Ending::Unreachable, 0);
                         Try::NotSent
                     }
-                    LinkError::Broken | LinkError::Late => {
+                    CallError::Broken | CallError::Late => {
                         permit.finish(Ending::Failed, 0);
                         Try::Unknown
                     }
@@ -493,7 +498,7 @@
 /// A streamed answer that gives its connection and its place back at its end.
 struct Stream {
     body: Incoming,
-    lease: Option<Lease>,
+    lease: Option<PooledConnection>,
     permit: Option<Permit>,
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -23,7 +23,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::detour::Detour;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
@@ -126,7 +126,7 @@
     clock: Arc<dyn Clock>,
     pub(crate) journal: Journal,
     exposition: Exposition,
-    links: Links,
+    connections: ConnectionPool,
     pub(crate) store: Store,
     sources: Sources,
     net: SharedNet,
@@ -139,13 +139,13 @@
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let exposition = Exposition::default();
         let journal = Journal::exposing(Arc::clone(&clock), &settings.node, exposition.clone());
-        let links = Links::new(Arc::clone(&clock));
+        let connections = ConnectionPool::new(Arc::clone(&clock));
         let start_ms = clock.since_epoch().as_millis();
         let writer = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
         let detour = Detour::new(detour_nodes(&settings));
         let store = Store::new(
             Arc::clone(&dialect),
-            links.clone(),
+            connections.clone(),
             settings.store,
             Arc::clone(&clock),
             journal.clone(),
@@ -154,7 +154,7 @@
         );
         let sources = Sources {
             store: store.clone(),
-            links: links.clone(),
+            connections: connections.clone(),
             seeds: Seeds::default(),
             relay: Arc::new(Relay::new(age_most(settings.news_bound()))),
             interest: Arc::default(),
@@ -181,7 +181,7 @@
             dialect,
             clock,
             journal,
-            links,
+            connections,
             store,
             net: Arc::new(TcpNet),
             tasks: Tasks::new(),
@@ -348,7 +348,7 @@
     let counting = Counting::new(CountingParts {
         process: base.store.writer().to_owned(),
         settings: base.in_force.clone(),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&base.sources.boot_clock),
     });
@@ -357,7 +357,7 @@
         fleet: Arc::clone(&fleet),
         interest: Arc::clone(&base.sources.interest),
         dialect: Arc::clone(dialect),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&base.sources.boot_clock),
         settings: base.in_force.clone(),
@@ -381,14 +381,14 @@
         seeds: base.sources.seeds.clone(),
         roster: Arc::new(Roster::default()),
         homes: homes.clone(),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     };
     let submissions = SubmissionManager::new(SubmissionManagerParts {
         this_node: me.clone(),
         store: base.store.clone(),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         dialect: Arc::clone(dialect),
         drafting: drafting.clone(),
         homes: homes.clone(),
@@ -405,7 +405,7 @@
         settings: base.in_force.clone(),
         store: base.store.clone(),
         outage: base.sources.outage.clone(),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&base.sources.boot_clock),
         journal: journal.clone(),
@@ -415,7 +415,7 @@
         counting: counting.clone(),
         holder: holder.clone(),
         store: base.store.clone(),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         dialect: Arc::clone(dialect),
         settings: base.in_force.clone(),
         clock: Arc::clone(clock),
@@ -427,7 +427,7 @@
             holder: holder.clone(),
             fleet: Arc::clone(&fleet),
             store: base.store.clone(),
-            links: base.links.clone(),
+            connections: base.connections.clone(),
             dialect: Arc::clone(dialect),
             settings: base.in_force.clone(),
             clock: Arc::clone(clock),
@@ -439,7 +439,7 @@
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
         interest: Arc::clone(&base.sources.interest),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         dialect: Arc::clone(dialect),
         clock: Arc::clone(clock),
         off: base.off,
@@ -467,7 +467,7 @@
         holder,
         counting,
         relay: Arc::clone(&base.sources.relay),
-        links: base.links.clone(),
+        connections: base.connections.clone(),
         store: base.settings.store,
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&base.sources.boot_clock),
@@ -506,7 +506,7 @@
     });
     let list = Arc::new(std::sync::Mutex::new(UpstreamList::default()));
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let (scoring, links) = (node.scoring.clone(), node.links.clone());
+    let (scoring, connections) = (node.scoring.clone(), node.connections.clone());
     let followed = Arc::clone(&list);
     let drafting = node.drafting.clone();
     let interest = Arc::clone(&base.sources.interest);
@@ -530,7 +530,7 @@
         }
         let taken = fleet.take_upstreams(&mut list, news.changes);
         for address in taken.restarted {
-            links.forget(address);
+            connections.forget(address);
         }
         // Live and reward calls do not ask which weights an upstream has.
         if taken.whereabouts {
--- a/crates/node/src/scaling/calls.rs
+++ b/crates/node/src/scaling/calls.rs
@@ -89,7 +89,9 @@
             return None;
         }
         progress.last_sent = Some(parts.clock.now());
-        let answer = parts.links.call(settings.order_at, request, SEND_TIMEOUT);
+        let answer = parts
+            .connections
+            .call(settings.order_at, request, SEND_TIMEOUT);
         let answer = answer.await;
         let read = |answer: http::Response<_>| parts.dialect.duty_answer(answer.status());
         Some(answer.map_or(DutyAnswer::Later, read))
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -17,7 +17,7 @@
 use futures_util::future::join_all;
 use rand::Rng;
 
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
 use crate::dialect::Kind;
@@ -61,7 +61,7 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to the platform and upstreams.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Encodes orders for the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Settings, which name the address for orders.
@@ -296,7 +296,9 @@
     async fn requests_at(&self, upstream: &Upstream) -> Option<u32> {
         let parts = &self.parts;
         let request = parts.dialect.report_request(upstream);
-        let answer = parts.links.call(upstream.address, request, REPORT_TIMEOUT);
+        let answer = parts
+            .connections
+            .call(upstream.address, request, REPORT_TIMEOUT);
         let answer = answer.await.ok()?;
         let report = parts.dialect.report(answer.body());
         report.ok().map(|report| report.requests)
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -21,8 +21,8 @@
 use http_body_util::Limited;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::connection_pool::Exchange;
-use crate::connection_pool::LinkError;
+use crate::connection_pool::CallError;
+use crate::connection_pool::StreamingResponse;
 use crate::dialect::RewardRequest;
 use crate::gates::Gates;
 use crate::live::pick_target;
@@ -239,17 +239,21 @@
             }
         };
         let exchanging = async {
-            let exchange = self.shared.links.send(upstream.address, request).await?;
+            let exchange = self
+                .shared
+                .connections
+                .send(upstream.address, request)
+                .await?;
             Ok(self.read(call, exchange).await)
         };
         let exchanged = within(patience, exchanging).await;
-        let (attempt, ending, told) = match exchanged.unwrap_or(Err(LinkError::Late)) {
+        let (attempt, ending, told) = match exchanged.unwrap_or(Err(CallError::Late)) {
             Ok(read) => read,
-            Err(LinkError::Refused | LinkError::NotSent) => {
+            Err(CallError::Refused | CallError::NotSent) => {
                 (Attempt::NotRun("not-sent"), Ending::Unreachable, None)
             }
-            Err(LinkError::Broken) => (Attempt::Broken("no-answer"), Ending::Failed, None),
-            Err(LinkError::Late) => (Attempt::Broken("late"), Ending::Failed, None),
+            Err(CallError::Broken) => (Attempt::Broken("no-answer"), Ending::Failed, None),
+            Err(CallError::Late) => (Attempt::Broken("late"), Ending::Failed, None),
         };
         permit.finish_told(ending, told);
         attempt
@@ -260,7 +264,7 @@
     async fn read(
         &self,
         call: &RewardCall,
-        exchange: Exchange,
+        exchange: StreamingResponse,
     ) -> (Attempt, Ending, Option<ReportedLoad>) {
         let (head, body) = exchange.answer.into_parts();
         let said = self.shared.dialect.answer_head(&head);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -6,7 +6,7 @@
 use firweir::process::log::Journal;
 use firweir_policy::work::ReportedLoad;
 
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::duty::BootClock;
 use crate::fleet::Fleet;
@@ -26,7 +26,7 @@
     /// Translates messages.
     pub dialect: Arc<dyn Dialect>,
     /// Connections.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::detour::Detour;
 use crate::detour::DetourFailure;
 use crate::detour::to_node;
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone)]
 pub struct Store {
     dialect: Arc<dyn Dialect>,
-    links: Links,
+    connections: ConnectionPool,
     address: SocketAddr,
     clock: Arc<dyn Clock>,
     writer: Arc<str>,
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn new(
         dialect: Arc<dyn Dialect>,
-        links: Links,
+        connections: ConnectionPool,
         address: SocketAddr,
         clock: Arc<dyn Clock>,
         journal: Journal,
@@ -77,7 +77,7 @@
     ) -> Self {
         Self {
             dialect,
-            links,
+            connections,
             address,
             clock,
             writer: writer.into(),
@@ -179,10 +179,10 @@
         if through_node {
             to_node(&mut request);
         }
-        match self.links.call(to, request, timeout).await {
+        match self.connections.call(to, request, timeout).await {
             Ok(answer) => self.dialect.store_answer(call, &answer),
-            Err(LinkError::Refused | LinkError::NotSent) => Err(StoreError::Unreachable),
-            Err(LinkError::Broken | LinkError::Late) => Err(StoreError::Unknown),
+            Err(CallError::Refused | CallError::NotSent) => Err(StoreError::Unreachable),
+            Err(CallError::Broken | CallError::Late) => Err(StoreError::Unknown),
         }
     }
 
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -138,7 +138,10 @@
         *request.uri_mut() = posted.head.uri.clone();
         *request.headers_mut() = posted.head.headers.clone();
         remove_framing_headers(request.headers_mut());
-        let call = self.shared.links.call(home.address, request, HOME_TIMEOUT);
+        let call = self
+            .shared
+            .connections
+            .call(home.address, request, HOME_TIMEOUT);
         let runners = &self.shared.runners;
         let answer = if self.shared.off.leaves(Mechanism::HomePing) {
             runners.call_while_alive(home.address, call).await
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use http::request;
 
-use crate::connection_pool::LinkError;
+use crate::connection_pool::CallError;
 use crate::dialect::AskedCall;
 use crate::dialect::Question;
 use crate::dialect::StoreError;
@@ -145,7 +145,7 @@
         {
             return newest;
         }
-        let replacing = self.replace_runner(known.clone(), LinkError::Late);
+        let replacing = self.replace_runner(known.clone(), CallError::Late);
         replacing.await.unwrap_or(known)
     }
 
@@ -155,7 +155,7 @@
     /// Runs in a task of its own: a client may disconnect before the runner is known to be down.
     /// If that cancelled the check, the client's next question would reach another node, which
     /// would start it again.
-    async fn replace_runner(self, known: VersionedHead, error: LinkError) -> Option<VersionedHead> {
+    async fn replace_runner(self, known: VersionedHead, error: CallError) -> Option<VersionedHead> {
         let runner = known.head.runner.address;
         if !self.shared.runners.is_down(runner, error).await {
             return None;
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -13,8 +13,8 @@
 use http::Uri;
 use http_body_util::Full;
 
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::follow::Seeds;
 use crate::roster::HOME_PATH;
 use crate::roster::HomeOffer;
@@ -36,7 +36,7 @@
     /// Homes that are known.
     pub homes: Homes,
     /// Connections to seed nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The event log.
@@ -98,12 +98,12 @@
         &self,
         seed: SocketAddr,
         question: &HomeQuestion,
-    ) -> Result<Option<HomeOffer>, LinkError> {
-        let body = serde_json::to_vec(question).map_err(|_never| LinkError::NotSent)?;
+    ) -> Result<Option<HomeOffer>, CallError> {
+        let body = serde_json::to_vec(question).map_err(|_never| CallError::NotSent)?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from_static(HOME_PATH);
-        let answer = self.links.call(seed, request, SEED_TIMEOUT).await?;
-        serde_json::from_slice(answer.body()).map_err(|_malformed| LinkError::Broken)
+        let answer = self.connections.call(seed, request, SEED_TIMEOUT).await?;
+        serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 }
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -22,7 +22,7 @@
 use http::request;
 use tokio::sync::watch;
 
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::AskedCall;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
@@ -123,7 +123,7 @@
 pub(in crate::submission) struct Shared {
     pub(in crate::submission) this_node: NodeRef,
     pub(in crate::submission) store: Store,
-    pub(in crate::submission) links: Links,
+    pub(in crate::submission) connections: ConnectionPool,
     pub(in crate::submission) homes: Homes,
     pub(in crate::submission) home_finder: HomeFinder,
     pub(in crate::submission) heads: Heads,
@@ -149,7 +149,7 @@
     /// The platform store.
     pub store: Store,
     /// Connections to other nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Encodes pages of results.
     pub dialect: Arc<dyn Dialect>,
     /// Generates the samples of items.
@@ -183,10 +183,10 @@
         );
         let shared = Shared {
             heads,
-            runners: Runners::new(parts.links.clone(), Arc::clone(&parts.clock)),
+            runners: Runners::new(parts.connections.clone(), Arc::clone(&parts.clock)),
             this_node: parts.this_node,
             store: parts.store,
-            links: parts.links,
+            connections: parts.connections,
             dialect: parts.dialect,
             drafting: parts.drafting,
             homes: parts.homes,
--- a/crates/node/src/submission/runners.rs
+++ b/crates/node/src/submission/runners.rs
@@ -19,8 +19,8 @@
 use http::request;
 use http_body_util::Full;
 
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Question;
 
 /// Timeout of a forwarded question, added to the wait that it asks for. Clients allow more
@@ -54,7 +54,7 @@
 /// Forwards calls to nodes that run submissions, and tracks which ones don't answer.
 #[derive(Debug)]
 pub struct Runners {
-    links: Links,
+    connections: ConnectionPool,
     clock: Arc<dyn Clock>,
     unanswered: Mutex<Vec<Unanswered>>,
 }
@@ -62,9 +62,9 @@
 impl Runners {
     /// Creates it without any unanswered calls.
     #[must_use]
-    pub fn new(links: Links, clock: Arc<dyn Clock>) -> Self {
+    pub fn new(connections: ConnectionPool, clock: Arc<dyn Clock>) -> Self {
         Self {
-            links,
+            connections,
             clock,
             unanswered: Mutex::default(),
         }
@@ -80,7 +80,7 @@
         runner: SocketAddr,
         question: &Question,
         call: &request::Parts,
-    ) -> Result<Response<Bytes>, LinkError> {
+    ) -> Result<Response<Bytes>, CallError> {
         let wait = match question {
             Question::Results { wait, .. } => *wait,
             Question::Item(_) | Question::End => Duration::ZERO,
@@ -91,7 +91,7 @@
         *request.headers_mut() = call.headers.clone();
         remove_framing_headers(request.headers_mut());
         self.record_call(runner);
-        let forwarding = self.links.call(runner, request, wait + PEER_TIMEOUT);
+        let forwarding = self.connections.call(runner, request, wait + PEER_TIMEOUT);
         let answer = forwarding.await;
         if answer.is_ok() {
             self.record_answer(runner);
@@ -117,20 +117,23 @@
         unless(call, pinging).await
     }
 
-    async fn ping(&self, node: SocketAddr, timeout: Duration) -> Result<(), LinkError> {
+    async fn ping(&self, node: SocketAddr, timeout: Duration) -> Result<(), CallError> {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = http::Uri::from_static(PING_PATH);
-        self.links.call(node, request, timeout).await.map(drop)
+        self.connections
+            .call(node, request, timeout)
+            .await
+            .map(drop)
     }
 
     /// Whether a runner that did not answer is down. Pings it until [`DOWN_AFTER`] has passed
     /// since the first unanswered call: if this were left to retries of the client, it would
     /// wait twice as long.
-    pub async fn is_down(&self, runner: SocketAddr, mut error: LinkError) -> bool {
+    pub async fn is_down(&self, runner: SocketAddr, mut error: CallError) -> bool {
         loop {
             let silent_for = self.silent_for(runner);
             // Nothing listens on the port: the process is gone, with its memory.
-            if error == LinkError::Refused || silent_for >= DOWN_AFTER {
+            if error == CallError::Refused || silent_for >= DOWN_AFTER {
                 return true;
             }
             let timeout = DOWN_AFTER.saturating_sub(silent_for).max(PING_TIMEOUT);
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -20,8 +20,8 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::duty::BootClock;
 use crate::holder::Holder;
 use crate::reload::InForce;
@@ -79,7 +79,7 @@
 struct Inner {
     process: String,
     settings: InForce,
-    links: Links,
+    connections: ConnectionPool,
     boot_clock: Arc<dyn BootClock>,
     state: Mutex<State>,
     counted: Notify,
@@ -93,7 +93,7 @@
     /// Settings, with the length of windows, and seeds.
     pub settings: InForce,
     /// Connections to other nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The clock with the time of day.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
@@ -146,7 +146,7 @@
         let inner = Inner {
             process: parts.process,
             settings: parts.settings,
-            links: parts.links,
+            connections: parts.connections,
             boot_clock: parts.boot_clock,
             state: Mutex::new(state),
             counted: Notify::new(),
@@ -220,7 +220,7 @@
     }
 
     /// Tells the holder, if one is known.
-    async fn tell(&self, duty: &Holder) -> Result<(), LinkError> {
+    async fn tell(&self, duty: &Holder) -> Result<(), CallError> {
         let (told, is_new) = {
             let mut state = self.lock();
             let is_new = std::mem::take(&mut state.is_new);
@@ -266,14 +266,18 @@
         others.next()
     }
 
-    async fn tell_to(&self, node: SocketAddr, told: &Told) -> Result<Heard, LinkError> {
+    async fn tell_to(&self, node: SocketAddr, told: &Told) -> Result<Heard, CallError> {
         // Strings and numbers only: writing them to memory cannot fail.
         let body = serde_json::to_vec(told).unwrap_or_default();
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = http::Uri::from_static(USAGE_PATH);
-        let answer = self.inner.links.call(node, request, TELL_TIMEOUT).await?;
-        serde_json::from_slice(answer.body()).map_err(|_malformed| LinkError::Broken)
+        let answer = self
+            .inner
+            .connections
+            .call(node, request, TELL_TIMEOUT)
+            .await?;
+        serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 
     fn hear(&self, heard: &Heard) {
@@ -324,7 +328,12 @@
         for seed in seeds.filter(|seed| Some(*seed) != settings.peer_listen) {
             let mut request = Request::new(Full::new(Bytes::new()));
             *request.uri_mut() = http::Uri::from_static(USAGE_PATH);
-            let Ok(answer) = self.inner.links.call(seed, request, TELL_TIMEOUT).await else {
+            let Ok(answer) = self
+                .inner
+                .connections
+                .call(seed, request, TELL_TIMEOUT)
+                .await
+            else {
                 continue;
             };
             let copies: Result<Vec<Told>, _> = serde_json::from_slice(answer.body());
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::connection_pool::Links;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::DutyAnswer;
 use crate::dialect::Freshness;
@@ -79,7 +79,7 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to the platform.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Writes reports.
     pub dialect: Arc<dyn Dialect>,
     /// Settings, with where reports go.
@@ -265,7 +265,7 @@
             return false;
         }
         let answer = parts
-            .links
+            .connections
             .call(usage.report_to, request, SEND_TIMEOUT)
             .await;
         let taken = answer
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -20,8 +20,8 @@
 use firweir_policy::work::UpstreamKey;
 use rand::Rng;
 
-use crate::connection_pool::LinkError;
-use crate::connection_pool::Links;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::OrderAnswer;
 use crate::dialect::WeightOrder;
@@ -101,7 +101,7 @@
     /// What this node wants to know of upstreams.
     pub interest: Arc<Interest>,
     /// Connections to engines.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Writes orders.
     pub dialect: Arc<dyn Dialect>,
     /// The clock.
@@ -364,7 +364,7 @@
         }));
     }
 
-    async fn give(&self, epoch: u64, due: &Due) -> Result<OrderAnswer, LinkError> {
+    async fn give(&self, epoch: u64, due: &Due) -> Result<OrderAnswer, CallError> {
         let parts = &self.shared.parts;
         let known = self.with(&due.upstream.instance, |held| held.accepted);
         let accepted_before = match known {
@@ -375,7 +375,7 @@
             },
         };
         if !parts.holder.may_act(epoch) {
-            return Err(LinkError::NotSent);
+            return Err(CallError::NotSent);
         }
         let order = WeightOrder {
             load: &due.load,
@@ -387,18 +387,18 @@
         };
         let request = parts.dialect.weight_order(&order);
         let answer = parts
-            .links
+            .connections
             .call(due.upstream.address, request, ORDER_TIMEOUT)
             .await?;
         Ok(parts.dialect.order_answer(answer.status()))
     }
 
     /// Orders that an engine has accepted since its start, by its own report.
-    async fn count_orders(&self, upstream: &Upstream) -> Result<Option<u64>, LinkError> {
+    async fn count_orders(&self, upstream: &Upstream) -> Result<Option<u64>, CallError> {
         let parts = &self.shared.parts;
         let request = parts.dialect.report_request(upstream);
         let answer = parts
-            .links
+            .connections
             .call(upstream.address, request, ORDER_TIMEOUT)
             .await?;
         let report = match parts.dialect.report(answer.body()) {
@@ -429,7 +429,7 @@
         Ok(Some(report.orders_accepted))
     }
 
-    fn note_answer(&self, due: &Due, answer: Result<OrderAnswer, LinkError>) {
+    fn note_answer(&self, due: &Due, answer: Result<OrderAnswer, CallError>) {
         let now = self.shared.parts.clock.now();
         self.event(
             "weights_ordered",
--- a/crates/node/tests/connection_pool.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use firweir::process::clock::SystemClock;
-use firweir_node::connection_pool::Links;
+use firweir_node::connection_pool::ConnectionPool;
 use http::Request;
 use http_body_util::Full;
 use tokio::io::AsyncReadExt;
@@ -48,11 +48,11 @@
 #[tokio::test]
 async fn idle_connections_are_bounded_in_all() {
     let open = Arc::new(AtomicUsize::new(0));
-    let links = Links::with_idle_most(Arc::new(SystemClock), 2);
+    let connections = ConnectionPool::with_idle_most(Arc::new(SystemClock), 2);
     for _ in 0..5 {
         let to = serve(&open).await;
         let request = Request::new(Full::new(Bytes::new()));
-        let answer = links.call(to, request, Duration::from_secs(5)).await;
+        let answer = connections.call(to, request, Duration::from_secs(5)).await;
         assert_eq!(answer.expect("it is answered").status(), 200);
     }
     for _ in 0..100 {
