--- a/crates/node/src/connection_pool.rs
+++ b/crates/node/src/connection_pool.rs
@@ -119,7 +119,7 @@
 }
 
 /// A connection in use. Dropping it closes the connection, which tells the other
-/// side to stop working; [`PooledConnection::keep`] keeps it for the next request.
+/// side to stop working; [`PooledConnection::return_to_pool`] keeps it for the next request.
 #[derive(Debug)]
 pub struct PooledConnection {
     connections: ConnectionPool,
@@ -131,7 +131,7 @@
 impl PooledConnection {
     /// Keeps the connection for the next request. The answer must have been read
     /// to its end and belong to the request.
-    pub fn keep(mut self) {
+    pub fn return_to_pool(mut self) {
         if let (Some(line), Some(idle)) = (self.line.take(), self.idle) {
             self.connections.put(self.to, line, idle);
         }
@@ -144,7 +144,7 @@
     /// The answer.
     pub answer: Response<Incoming>,
     /// Its connection.
-    pub lease: PooledConnection,
+    pub connection: PooledConnection,
 }
 
 /// All connections of a process; cheap to clone.
@@ -160,12 +160,12 @@
     /// No connections yet.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        Self::with_idle_most(clock, IDLE_MOST_IN_ALL)
+        Self::with_max_idle(clock, IDLE_MOST_IN_ALL)
     }
 
     /// The same, with another number of idle connections that are kept in all.
     #[must_use]
-    pub fn with_idle_most(clock: Arc<dyn Clock>, idle_most: usize) -> Self {
+    pub fn with_max_idle(clock: Arc<dyn Clock>, idle_most: usize) -> Self {
         Self {
             clock,
             idle: Arc::default(),
@@ -197,13 +197,13 @@
             };
             match line.sender.try_send_request(request).await {
                 Ok(answer) => {
-                    let lease = PooledConnection {
+                    let connection = PooledConnection {
                         connections: self.clone(),
                         to,
                         line: Some(line),
                         idle: idle_time(answer.headers()),
                     };
-                    return Ok(StreamingResponse { answer, lease });
+                    return Ok(StreamingResponse { answer, connection });
                 }
                 Err(mut failed) => match failed.take_message() {
                     // An idle connection that the other side has closed.
@@ -231,7 +231,7 @@
             let (head, body) = exchange.answer.into_parts();
             let body = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
             let body = body.map_err(|_broken| CallError::Broken)?.to_bytes();
-            exchange.lease.keep();
+            exchange.connection.return_to_pool();
             Ok(Response::from_parts(head, body))
         };
         let late = |_elapsed| CallError::Late;
@@ -239,7 +239,7 @@
     }
 
     /// Closes idle connections to an address: another process answers there now.
-    pub fn forget(&self, to: SocketAddr) {
+    pub fn close_idle(&self, to: SocketAddr) {
         self.lock().retain(|held| held.to != to);
     }
 
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -132,7 +132,7 @@
     }
 
     async fn read(&mut self, exchange: StreamingResponse, reached: &mut Reached) -> Attempt {
-        let StreamingResponse { answer, lease } = exchange;
+        let StreamingResponse { answer, connection } = exchange;
         let (head, body) = answer.into_parts();
         let said = self.shared.dialect.answer_head(&head);
         if said.request_id.as_deref() != Some(self.item.id.as_str()) {
@@ -146,7 +146,7 @@
             StatusCode::UNPROCESSABLE_ENTITY => return Attempt::Impossible,
             _ if said.not_run => {
                 if body.collect().await.is_ok() {
-                    lease.keep();
+                    connection.return_to_pool();
                 }
                 return Attempt::NotRun;
             }
@@ -155,7 +155,7 @@
         }
         let attempt = self.read_events(body, said.version, reached).await;
         if attempt == Attempt::Whole {
-            lease.keep();
+            connection.return_to_pool();
         }
         attempt
     }
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -395,7 +395,7 @@
         if said.not_run {
             handed.did_not_run();
             if body.collect().await.is_ok() {
-                exchange.lease.keep();
+                exchange.connection.return_to_pool();
             }
             permit.finish_told(Ending::Refused, load);
             return Try::NotRun;
@@ -409,7 +409,7 @@
         if matches!(call.route.kind, RouteKind::Streaming { .. }) && head.status.is_success() {
             let stream = Stream {
                 body,
-                lease: Some(exchange.lease),
+                connection: Some(exchange.connection),
                 permit: Some(permit),
             };
             let mut answer = Response::new(stream.boxed_unsync());
@@ -422,7 +422,7 @@
             permit.finish(Ending::Failed, 0);
             return Try::Unknown;
         };
-        exchange.lease.keep();
+        exchange.connection.return_to_pool();
         let mut answer = bytes_response(head.status, body.to_bytes());
         *answer.headers_mut() = headers;
         if head.status.is_server_error() {
@@ -498,7 +498,7 @@
 /// A streamed answer that gives its connection and its place back at its end.
 struct Stream {
     body: Incoming,
-    lease: Option<PooledConnection>,
+    connection: Option<PooledConnection>,
     permit: Option<Permit>,
 }
 
@@ -507,8 +507,12 @@
         if let Some(permit) = self.permit.take() {
             permit.finish(ending, 0);
         }
-        if let Some(lease) = self.lease.take().filter(|_| ending == Ending::Answered) {
-            lease.keep();
+        if let Some(connection) = self
+            .connection
+            .take()
+            .filter(|_| ending == Ending::Answered)
+        {
+            connection.return_to_pool();
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -530,7 +530,7 @@
         }
         let taken = fleet.take_upstreams(&mut list, news.changes);
         for address in taken.restarted {
-            connections.forget(address);
+            connections.close_idle(address);
         }
         // Live and reward calls do not ask which weights an upstream has.
         if taken.whereabouts {
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -272,7 +272,7 @@
         let is_whole = whole.is_ok();
         if said.not_run {
             if is_whole {
-                exchange.lease.keep();
+                exchange.connection.return_to_pool();
             }
             return (Attempt::NotRun("upstream"), Ending::Abandoned, said.load);
         }
@@ -280,7 +280,7 @@
         let Some(proof) = said.proof.filter(|_| own && is_whole) else {
             return (Attempt::Broken("answer"), Ending::Failed, said.load);
         };
-        exchange.lease.keep();
+        exchange.connection.return_to_pool();
         match head.status {
             status if status.is_success() => {
                 (Attempt::Answered(proof), Ending::Answered, said.load)
--- a/crates/node/tests/connection_pool.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn idle_connections_are_bounded_in_all() {
     let open = Arc::new(AtomicUsize::new(0));
-    let connections = ConnectionPool::with_idle_most(Arc::new(SystemClock), 2);
+    let connections = ConnectionPool::with_max_idle(Arc::new(SystemClock), 2);
     for _ in 0..5 {
         let to = serve(&open).await;
         let request = Request::new(Full::new(Bytes::new()));
