--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -44,10 +44,10 @@
 use crate::model::Config;
 use crate::model::Route;
 use crate::model::RouteKind;
-use crate::relay::Question;
 use crate::relay::RELAY_PATH;
 use crate::relay::Relay;
-use crate::relay::kind_of;
+use crate::relay::RelayRequest;
+use crate::relay::kind_from_path_name;
 use crate::reload::InForce;
 use crate::respond::Outcome;
 use crate::respond::empty;
@@ -317,15 +317,15 @@
 
     /// Passes on what the store shows to a node that takes this one for a seed.
     async fn pass_on(&self, name: &str, query: Option<&str>) -> Response<Body> {
-        let question = query.and_then(Question::of_query);
-        let (Some(kind), Some(question)) = (kind_of(name), question) else {
+        let question = query.and_then(RelayRequest::from_query);
+        let (Some(kind), Some(question)) = (kind_from_path_name(name), question) else {
             return empty(StatusCode::NOT_FOUND);
         };
         let now = || self.clock.now();
         let arrived = self.boot_clock.since_boot();
         let mut answer = self.relay.answer(kind, &question, now).await;
         answer.nodes = self.home_finder.roster.len();
-        json(StatusCode::OK, &answer.since_question(arrived))
+        json(StatusCode::OK, &answer.relative_to(arrived))
     }
 
     /// Not ready before a configuration is known, while it may be too old for calls with a
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -26,9 +26,9 @@
 use crate::interest::Wanted;
 use crate::outage::Outage;
 use crate::relay::Relay;
-use crate::relay::SEED_WATCH;
-use crate::relay::Whereabouts;
-use crate::relay::name_of;
+use crate::relay::RoutingDigest;
+use crate::relay::SEED_WATCH_WAIT;
+use crate::relay::path_name_of;
 use crate::roster::Standing;
 use crate::store::Store;
 
@@ -333,9 +333,9 @@
         let now = self.sources.clock.now();
         if self.sources.seeds.now().is_seed {
             let (relay, changes) = (&self.sources.relay, &update.news.changes);
-            let whereabouts_of = |object: &Object| self.whereabouts_of(object);
-            relay.keep(now, self.kind, update.revision, changes, whereabouts_of);
-            relay.note_as_of(self.kind, update.news.as_of);
+            let digest_of = |object: &Object| self.digest_of(object);
+            relay.apply(now, self.kind, update.revision, changes, digest_of);
+            relay.record_as_of(self.kind, update.news.as_of);
         }
         Ok(update)
     }
@@ -345,25 +345,25 @@
     fn is_wanted(&self, object: &Object) -> bool {
         match &self.wanted {
             Wanted::Parts(parts) if self.kind == Kind::Upstreams => {
-                let whereabouts = self.whereabouts_of(object);
-                whereabouts.is_none_or(|whereabouts| parts.have(whereabouts))
+                let routing = self.digest_of(object);
+                routing.is_none_or(|routing| parts.have(routing))
             }
             Wanted::Parts(_) | Wanted::All => true,
         }
     }
 
     /// Whereabouts that an entry tells; none if it cannot be read.
-    fn whereabouts_of(&self, object: &Object) -> Option<Whereabouts> {
+    fn digest_of(&self, object: &Object) -> Option<RoutingDigest> {
         if self.kind != Kind::Upstreams {
             return None;
         }
         let upstream = self.sources.dialect.upstream(object).ok()?;
-        Some(Whereabouts::of(&upstream))
+        Some(RoutingDigest::of_upstream(&upstream))
     }
 
     async fn watch(&self, since: u64, how: Following) -> Result<Update, StoreError> {
         let seeds = self.sources.seeds.now();
-        let is_seed = seeds.is_seed && name_of(self.kind).is_some();
+        let is_seed = seeds.is_seed && path_name_of(self.kind).is_some();
         let many = !seeds.asked.is_empty();
         let pause = if is_seed { how.seed_pause } else { how.pause };
         tokio::time::sleep(pause).await;
@@ -376,8 +376,8 @@
         let wait = match freshness {
             // Nodes that may ask seeds look for one again soon.
             // With its pause a seed's knowledge stays as young.
-            _ if is_seed => SEED_WATCH.saturating_sub(pause),
-            _ if many => SEED_WATCH,
+            _ if is_seed => SEED_WATCH_WAIT.saturating_sub(pause),
+            _ if many => SEED_WATCH_WAIT,
             Freshness::Newest => WATCH_WAIT,
             Freshness::Seconds => STALE_WATCH_WAIT,
         };
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -18,10 +18,10 @@
 use crate::follow::Update;
 use crate::interest::Wanted;
 use crate::relay::POLL_TIMEOUT;
-use crate::relay::Passing;
-use crate::relay::Question;
 use crate::relay::RELAY_PATH;
-use crate::relay::name_of;
+use crate::relay::RelayAnswer;
+use crate::relay::RelayRequest;
+use crate::relay::path_name_of;
 use crate::roster::MEMBER;
 
 /// After a round in which no seed had an update, seeds are not asked again for this long;
@@ -39,14 +39,15 @@
     /// Waits up to [`SEEDS_START`] for the first update from a seed; `None` if none came.
     pub(crate) async fn await_seeds(&mut self) -> Option<Update> {
         let until = self.sources.clock.now() + SEEDS_START;
-        let name = name_of(self.kind)?;
+        let name = path_name_of(self.kind)?;
         while self.sources.clock.now() < until {
             let seed = self.sources.seeds.turn(self.next_seed)?;
-            let passing = self.ask_seed(seed, name).await;
+            let relay_answer = self.ask_seed(seed, name).await;
             if self.take_interest() {
                 continue;
             }
-            let update = passing.and_then(|(passing, sent)| self.update_of(passing, sent));
+            let update =
+                relay_answer.and_then(|(relay_answer, sent)| self.update_of(relay_answer, sent));
             if update.is_some() {
                 return update;
             }
@@ -58,7 +59,7 @@
 
     /// An update from the first seed that is up to date; `None` if there is none.
     pub(crate) async fn ask_seeds(&mut self) -> Option<Update> {
-        let name = name_of(self.kind)?;
+        let name = path_name_of(self.kind)?;
         let now = self.sources.clock.now();
         if self.seeds_after.is_some_and(|after| after > now) {
             return None;
@@ -67,22 +68,22 @@
         let mut old = None;
         for _ in 0..self.sources.seeds.now().asked.len() {
             let seed = self.sources.seeds.turn(self.next_seed)?;
-            let passing = self.ask_seed(seed, name).await;
+            let relay_answer = self.ask_seed(seed, name).await;
             // The question has changed since; its answer is of no use.
             if self.take_interest() {
                 continue;
             }
-            if let Some((passing, sent)) = passing {
-                if self.is_new_enough(&passing) {
+            if let Some((relay_answer, sent)) = relay_answer {
+                if self.is_new_enough(&relay_answer) {
                     self.relist.cancel();
-                    return self.update_of(passing, sent);
+                    return self.update_of(relay_answer, sent);
                 }
-                old = Some(passing);
+                old = Some(relay_answer);
             }
             self.next_seed += 1;
         }
         self.seeds_after = Some(now + SEEDS_PAUSE);
-        old.and_then(|passing| self.first_of(passing))
+        old.and_then(|relay_answer| self.first_of(relay_answer))
     }
 
     /// Whether this node waits for its seeds instead of listing all upstreams itself, because the
@@ -107,7 +108,7 @@
         let most = if self.seeds_answer {
             Duration::MAX
         } else {
-            self.sources.relay.age_most()
+            self.sources.relay.max_age()
         };
         let spread = spread.map(|spread| spread.min(most));
         let now = self.sources.clock.now();
@@ -119,44 +120,46 @@
     }
 
     /// Whether a seed knows at least what this node knows, and heard from the store recently.
-    fn is_new_enough(&self, passing: &Passing) -> bool {
-        self.sources.relay.is_young(passing.age_ms) && passing.revision >= self.newest
+    fn is_new_enough(&self, relay_answer: &RelayAnswer) -> bool {
+        self.sources.relay.is_fresh(relay_answer.age_ms) && relay_answer.revision >= self.newest
     }
 
     /// The update in a seed's answer to a question sent at `sent` (time since boot); `None` if
     /// the answer is outdated.
-    fn update_of(&self, passing: Passing, sent: Duration) -> Option<Update> {
-        let as_of = passing.as_of_for(sent);
-        let is_new_enough = self.is_new_enough(&passing);
-        is_new_enough.then(|| self.taken_from(passing, as_of))
+    fn update_of(&self, relay_answer: RelayAnswer, sent: Duration) -> Option<Update> {
+        let as_of = relay_answer.as_of_on_clock_of_asker(sent);
+        let is_new_enough = self.is_new_enough(&relay_answer);
+        is_new_enough.then(|| self.taken_from(relay_answer, as_of))
     }
 
     /// An outdated list of upstreams, for a node that has just started and knows none: without
     /// it, its callers would be refused until the store is back.
-    fn first_of(&self, passing: Passing) -> Option<Update> {
+    fn first_of(&self, relay_answer: RelayAnswer) -> Option<Update> {
         let knows_none = self.kind == Kind::Upstreams && self.newest == 0;
-        (knows_none && passing.revision > 0).then(|| self.taken_from(passing, None))
+        (knows_none && relay_answer.revision > 0).then(|| self.taken_from(relay_answer, None))
     }
 
-    fn taken_from(&self, passing: Passing, as_of: Option<Duration>) -> Update {
+    fn taken_from(&self, relay_answer: RelayAnswer, as_of: Option<Duration>) -> Update {
         Update {
-            revision: passing.revision,
+            revision: relay_answer.revision,
             news: News {
                 extent: Extent {
-                    listed: Some(passing.listed),
-                    whole: passing.is_full_list.then_some(self.wanted == Wanted::All),
+                    listed: Some(relay_answer.total_objects),
+                    whole: relay_answer
+                        .is_full_list
+                        .then_some(self.wanted == Wanted::All),
                 },
                 as_of,
-                changes: passing.into_changes(),
+                changes: relay_answer.into_changes(),
             },
         }
     }
 
     /// The answer of a seed, and the time since boot at which it was asked; `None` if it did not
     /// answer or the question has changed.
-    async fn ask_seed(&mut self, seed: SocketAddr, name: &str) -> Option<(Passing, Duration)> {
+    async fn ask_seed(&mut self, seed: SocketAddr, name: &str) -> Option<(RelayAnswer, Duration)> {
         let sent = self.sources.boot_clock.since_boot();
-        let query = self.question().to_query();
+        let query = self.relay_request().to_query();
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = format!("{RELAY_PATH}{name}?{query}").parse().ok()?;
         // Questions for one kind are enough to announce this node as a member.
@@ -171,23 +174,23 @@
             // The seed may hold its answer for long, while the new question is urgent.
             () = interest.changed(), if self.kind == Kind::Upstreams => return None,
         };
-        let passing: Passing = serde_json::from_slice(answer.body()).ok()?;
+        let relay_answer: RelayAnswer = serde_json::from_slice(answer.body()).ok()?;
         self.seeds_answer = true;
         // A seed counts only the nodes that ask it; nodes are spread evenly over the seeds.
         let seeds = self.sources.seeds.now().asked.len();
         self.fleet_size = Some(FleetSize {
-            nodes: passing.nodes.saturating_mul(seeds),
-            objects: passing.listed,
+            nodes: relay_answer.nodes.saturating_mul(seeds),
+            objects: relay_answer.total_objects,
         });
-        Some((passing, sent))
+        Some((relay_answer, sent))
     }
 
-    fn question(&self) -> Question {
+    fn relay_request(&self) -> RelayRequest {
         let parts = match &self.wanted {
             Wanted::Parts(parts) if self.kind == Kind::Upstreams => Some(parts.clone()),
             Wanted::Parts(_) | Wanted::All => None,
         };
-        Question {
+        RelayRequest {
             since: self.since.unwrap_or(0),
             parts,
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -47,7 +47,7 @@
 use crate::mechanisms::Off;
 use crate::outage::Outage;
 use crate::relay::Relay;
-use crate::relay::age_most;
+use crate::relay::max_age_for;
 use crate::reload;
 use crate::reload::InForce;
 use crate::reload::Reload;
@@ -156,7 +156,7 @@
             store: store.clone(),
             connections: connections.clone(),
             seeds: Seeds::default(),
-            relay: Arc::new(Relay::new(age_most(settings.news_bound()))),
+            relay: Arc::new(Relay::new(max_age_for(settings.news_bound()))),
             interest: Arc::default(),
             standing: standing_of(&settings),
             dialect: Arc::clone(&dialect),
@@ -488,7 +488,7 @@
     let how = move || {
         let has_accounts = !configured.config().accounts.is_empty();
         let limits = has_accounts.then(|| settings.now().news_limits());
-        relay.hold_at_most(Kind::Configuration, limits.map(|limits| limits.hold));
+        relay.set_max_hold(Kind::Configuration, limits.map(|limits| limits.hold));
         Following {
             watch_most: limits.map(|limits| limits.watch),
             ..Following::at_once()
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -14,7 +14,7 @@
 //!
 //! A node detects a silent seed after [`POLL_TIMEOUT`] and then reads the store. Relaying
 //! therefore suits only deployments that give a leaving upstream more time than that plus the
-//! allowed age of a seed's data ([`age_most`]).
+//! allowed age of a seed's data ([`max_age_for`]).
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -51,14 +51,14 @@
     ("duties", Kind::Duties),
 ];
 
-/// Lower bound of the allowed age of a seed's data: its watches end only after [`SEED_WATCH`].
+/// Lower bound of the allowed age of a seed's data: its watches end only after [`SEED_WATCH_WAIT`].
 const MIN_ALLOWED_AGE: Duration = Duration::from_millis(1_300);
 
 /// Allowance for a request that was routed by a node's previous state and is still in flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(200);
 
 /// Longest wait of one watch on a seed, so that the age of its data stays below [`MIN_ALLOWED_AGE`].
-pub const SEED_WATCH: Duration = Duration::from_secs(1);
+pub const SEED_WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// How long a seed holds a request for which it has no changes.
 const MAX_HOLD: Duration = Duration::from_millis(900);
@@ -72,7 +72,7 @@
 
 /// An object, or the name of a removed one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Passed {
+pub struct RelayedObject {
     name: String,
     revision: u64,
     reported: bool,
@@ -82,7 +82,7 @@
 
 /// The answer of a seed.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Passing {
+pub struct RelayAnswer {
     /// Revision of the store up to which a node that applies this answer is up to date.
     pub revision: u64,
     /// Time since the seed last heard from the store.
@@ -94,8 +94,8 @@
     #[serde(skip)]
     pub as_of: Option<Duration>,
     /// Number of objects that the seed knows, requested or not.
-    #[serde(default)]
-    pub listed: usize,
+    #[serde(default, rename = "listed")]
+    pub total_objects: usize,
     /// Number of nodes that poll the seed; some may have stopped since. 0 from older releases.
     #[serde(default)]
     pub nodes: usize,
@@ -103,14 +103,14 @@
     #[serde(rename = "whole")]
     pub is_full_list: bool,
     /// Objects in the order of their changes.
-    pub objects: Vec<Passed>,
+    pub objects: Vec<RelayedObject>,
 }
 
-impl Passing {
+impl RelayAnswer {
     /// Expresses `as_of` relative to the arrival of the request, since the clocks of two VMs
     /// share only their rate.
     #[must_use]
-    pub fn since_question(mut self, arrived: Duration) -> Self {
+    pub fn relative_to(mut self, arrived: Duration) -> Self {
         let millis = |time: Duration| time.as_millis() as i64;
         self.as_of_ms = self.as_of.map(|as_of| millis(as_of) - millis(arrived));
         self
@@ -119,7 +119,7 @@
     /// When the store had nothing newer, on the clock of the node that sent the request at `sent`.
     /// Leaves out the time in transit, so the result is never later than the true time.
     #[must_use]
-    pub fn as_of_for(&self, sent: Duration) -> Option<Duration> {
+    pub fn as_of_on_clock_of_asker(&self, sent: Duration) -> Option<Duration> {
         let sent_ms = sent.as_millis() as i64;
         let as_of_ms = u64::try_from(sent_ms.checked_add(self.as_of_ms?)?);
         as_of_ms.ok().map(Duration::from_millis)
@@ -128,7 +128,7 @@
     /// The changes that a node has to apply.
     #[must_use]
     pub fn into_changes(self) -> Vec<Change> {
-        let object = |passed: Passed| match passed.value {
+        let object = |passed: RelayedObject| match passed.value {
             Some(value) => Change::Put(Object {
                 name: passed.name,
                 revision: passed.revision,
@@ -151,7 +151,7 @@
 
 /// Hashes of the properties of an upstream that matter for routing live calls to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Whereabouts {
+pub struct RoutingDigest {
     /// Hash of the service that the upstream belongs to.
     pub service: u64,
     /// Hash of all other properties except the versions of its weights.
@@ -160,10 +160,10 @@
     pub engine: u64,
 }
 
-impl Whereabouts {
+impl RoutingDigest {
     /// Hashes the properties of an upstream.
     #[must_use]
-    pub fn of(upstream: &Upstream) -> Self {
+    pub fn of_upstream(upstream: &Upstream) -> Self {
         let instance = &upstream.instance;
         let (born_ms, address, zone) = (instance.born_ms, upstream.address, &upstream.zone);
         let (slots, leaving) = (upstream.slots, upstream.leaving);
@@ -184,14 +184,14 @@
 
 /// A node's request to a seed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct RelayRequest {
     /// Revision up to which the node is up to date.
     pub since: u64,
     /// Entries to report; `None` for all.
     pub parts: Option<Parts>,
 }
 
-impl Question {
+impl RelayRequest {
     /// Encodes the request as a query string: the revision, followed, if there is a filter, by a
     /// hash for each service and a hash and a number of leading zeros for each model.
     #[must_use]
@@ -213,7 +213,7 @@
 
     /// Decodes a query string; `None` if it is malformed.
     #[must_use]
-    pub fn of_query(query: &str) -> Option<Self> {
+    pub fn from_query(query: &str) -> Option<Self> {
         let Some((since, wanted)) = query.split_once(';') else {
             let since = query.parse().ok()?;
             return Some(Self { since, parts: None });
@@ -241,20 +241,20 @@
 impl Parts {
     /// Whether the filter selects an upstream, for all changes or for routing changes only.
     #[must_use]
-    pub fn have(&self, whereabouts: Whereabouts) -> bool {
-        self.relevance_of(whereabouts) != Relevance::Unrequested
+    pub fn have(&self, routing: RoutingDigest) -> bool {
+        self.relevance_of(routing) != Relevance::Unrequested
     }
 
     /// Which changes of an upstream the filter selects.
-    fn relevance_of(&self, whereabouts: Whereabouts) -> Relevance {
+    fn relevance_of(&self, routing: RoutingDigest) -> Relevance {
         let is_in = |model_slice: &ModelSlice| {
-            let order = rendezvous_hash(whereabouts.engine, model_slice.model);
+            let order = rendezvous_hash(routing.engine, model_slice.model);
             model_slice.slice.contains(order)
         };
         if self.slices.iter().any(is_in) {
             return Relevance::AllChanges;
         }
-        match self.services.binary_search(&whereabouts.service) {
+        match self.services.binary_search(&routing.service) {
             Ok(_) => Relevance::RoutingChanges,
             Err(_) => Relevance::Unrequested,
         }
@@ -275,8 +275,8 @@
 /// An object as a seed stores it.
 #[derive(Debug)]
 struct MirroredObject {
-    object: Passed,
-    whereabouts: Option<Whereabouts>,
+    object: RelayedObject,
+    routing: Option<RoutingDigest>,
     /// Store revision at which its newest value was received.
     changed_revision: u64,
     /// Store revision at which its routing properties last changed.
@@ -312,7 +312,7 @@
 #[derive(Debug)]
 pub struct Relay {
     kinds: [RelayedKind; KINDS.len()],
-    age_most: Duration,
+    max_age: Duration,
 }
 
 impl Default for Relay {
@@ -325,55 +325,55 @@
 /// possible is allowed: a seed that lists again lags for a while, and with a tight limit all
 /// nodes would turn to the store.
 #[must_use]
-pub fn age_most(bound: Duration) -> Duration {
+pub fn max_age_for(bound: Duration) -> Duration {
     let left = bound.saturating_sub(POLL_TIMEOUT + IN_FLIGHT_TIME);
     left.min(bound / 2).max(MIN_ALLOWED_AGE)
 }
 
 /// Name of a kind in paths; `None` if seeds do not relay it.
 #[must_use]
-pub fn name_of(kind: Kind) -> Option<&'static str> {
+pub fn path_name_of(kind: Kind) -> Option<&'static str> {
     let found = KINDS.iter().find(|(_, relayed)| *relayed == kind);
     found.map(|(name, _)| *name)
 }
 
 /// The kind with this name in paths.
 #[must_use]
-pub fn kind_of(name: &str) -> Option<Kind> {
+pub fn kind_from_path_name(name: &str) -> Option<Kind> {
     let found = KINDS.iter().find(|(relayed, _)| *relayed == name);
     found.map(|(_, kind)| *kind)
 }
 
 impl Relay {
-    /// An empty relay whose data counts as up to date up to the age `age_most`.
+    /// An empty relay whose data counts as up to date up to the age `max_age`.
     #[must_use]
-    pub fn new(age_most: Duration) -> Self {
+    pub fn new(max_age: Duration) -> Self {
         Self {
             kinds: Default::default(),
-            age_most,
+            max_age,
         }
     }
 
     /// Age up to which a seed's data counts as up to date.
     #[must_use]
-    pub const fn age_most(&self) -> Duration {
-        self.age_most
+    pub const fn max_age(&self) -> Duration {
+        self.max_age
     }
 
     /// Whether data of this age counts as up to date.
     #[must_use]
-    pub const fn is_young(&self, age_ms: u64) -> bool {
-        age_ms as u128 <= self.age_most.as_millis()
+    pub const fn is_fresh(&self, age_ms: u64) -> bool {
+        age_ms as u128 <= self.max_age.as_millis()
     }
 
     /// Applies changes that the store reported, up to `revision`.
-    pub fn keep(
+    pub fn apply(
         &self,
         now: Instant,
         kind: Kind,
         revision: u64,
         changes: &[Change],
-        whereabouts_of: impl Fn(&Object) -> Option<Whereabouts>,
+        digest_of: impl Fn(&Object) -> Option<RoutingDigest>,
     ) {
         let Some(relayed_kind) = self.relayed_kind(kind) else {
             return;
@@ -381,7 +381,7 @@
         let mut mirror = relayed_kind.lock();
         mirror.last_heard = Some(now);
         for change in changes {
-            mirror.apply(revision, change, &whereabouts_of);
+            mirror.apply(revision, change, &digest_of);
         }
         mirror.revision = mirror.revision.max(revision);
         drop(mirror);
@@ -391,7 +391,7 @@
     }
 
     /// Limits how long requests for a kind are held; `None` restores the default.
-    pub fn hold_at_most(&self, kind: Kind, most: Option<Duration>) {
+    pub fn set_max_hold(&self, kind: Kind, most: Option<Duration>) {
         if let Some(relayed_kind) = self.relayed_kind(kind) {
             let max_ms = most.map_or(0, |most| most.as_millis() as u64);
             relayed_kind.max_hold_ms.store(max_ms, Ordering::Relaxed);
@@ -399,7 +399,7 @@
     }
 
     /// Records that the store had nothing newer at `as_of` (time since boot).
-    pub fn note_as_of(&self, kind: Kind, as_of: Option<Duration>) {
+    pub fn record_as_of(&self, kind: Kind, as_of: Option<Duration>) {
         if let Some(relayed_kind) = self.relayed_kind(kind) {
             let mut mirror = relayed_kind.lock();
             mirror.as_of = mirror.as_of.max(as_of);
@@ -410,22 +410,22 @@
     pub async fn answer(
         &self,
         kind: Kind,
-        question: &Question,
+        request: &RelayRequest,
         now: impl Fn() -> Instant,
-    ) -> Passing {
+    ) -> RelayAnswer {
         let Some(relayed_kind) = self.relayed_kind(kind) else {
-            return Mirror::default().passing(question, now());
+            return Mirror::default().answer(request, now());
         };
         let until = tokio::time::Instant::now() + relayed_kind.hold();
         loop {
             let changed = relayed_kind.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let passing = relayed_kind.lock().passing(question, now());
+            let answer = relayed_kind.lock().answer(request, now());
             let waited = tokio::time::Instant::now() >= until;
-            let is_news = passing.is_full_list || !passing.objects.is_empty();
-            if waited || is_news || !self.is_young(passing.age_ms) {
-                return passing;
+            let is_news = answer.is_full_list || !answer.objects.is_empty();
+            if waited || is_news || !self.is_fresh(answer.age_ms) {
+                return answer;
             }
             // After a change or the timeout, the loop checks again.
             drop(tokio::time::timeout_at(until, changed).await);
@@ -452,26 +452,26 @@
 }
 
 impl Mirror {
-    fn passing(&self, question: &Question, now: Instant) -> Passing {
+    fn answer(&self, request: &RelayRequest, now: Instant) -> RelayAnswer {
         let age = self
             .last_heard
             .map(|last_heard| now.duration_since(last_heard));
-        let is_full_list = question.since < self.removals_since;
+        let is_full_list = request.since < self.removals_since;
         let objects = if is_full_list {
             let is_wanted = |mirrored: &&MirroredObject| {
-                mirrored.relevance_for(question) != Relevance::Unrequested
+                mirrored.relevance_for(request) != Relevance::Unrequested
             };
             let wanted = self.objects.iter().filter(is_wanted);
             wanted.map(|mirrored| mirrored.object.clone()).collect()
         } else {
-            self.changes_since(question)
+            self.changes_since(request)
         };
-        Passing {
+        RelayAnswer {
             revision: self.revision,
             age_ms: age.map_or(u64::MAX, |age| age.as_millis() as u64),
             as_of_ms: None,
             as_of: self.as_of,
-            listed: self.objects.len(),
+            total_objects: self.objects.len(),
             nodes: 0,
             is_full_list,
             objects,
@@ -479,11 +479,11 @@
     }
 
     /// Changes after the revision of the request, in order.
-    fn changes_since(&self, question: &Question) -> Vec<Passed> {
-        let since = question.since;
+    fn changes_since(&self, request: &RelayRequest) -> Vec<RelayedObject> {
+        let since = request.since;
         // Fast path: most requests come from nodes that only send live calls, and loads of
         // weights do not concern them.
-        let calls_only = question
+        let calls_only = request
             .parts
             .as_ref()
             .is_some_and(|parts| parts.slices.is_empty());
@@ -495,19 +495,21 @@
             .objects
             .iter()
             .filter(|mirrored| mirrored.changed_revision > since);
-        let changed = changed.filter(|mirrored| match mirrored.relevance_for(question) {
+        let changed = changed.filter(|mirrored| match mirrored.relevance_for(request) {
             Relevance::AllChanges => true,
             Relevance::RoutingChanges => mirrored.routing_revision > since,
             Relevance::Unrequested => false,
         });
-        let mut later: Vec<(u64, Passed)> = changed
+        let mut later: Vec<(u64, RelayedObject)> = changed
             .map(|mirrored| (mirrored.changed_revision, mirrored.object.clone()))
             .collect();
         let removed = self
             .removed
             .iter()
             .filter(|(revision, _)| *revision > since);
-        later.extend(removed.map(|(revision, name)| (*revision, Passed::removed(*revision, name))));
+        later.extend(
+            removed.map(|(revision, name)| (*revision, RelayedObject::removed(*revision, name))),
+        );
         later.sort_by_key(|(revision, _)| *revision);
         later.into_iter().map(|(_, passed)| passed).collect()
     }
@@ -516,11 +518,11 @@
         &mut self,
         revision: u64,
         change: &Change,
-        whereabouts_of: &impl Fn(&Object) -> Option<Whereabouts>,
+        digest_of: &impl Fn(&Object) -> Option<RoutingDigest>,
     ) {
         match change {
-            Change::All(objects) => self.apply_list(revision, objects, whereabouts_of),
-            Change::Put(object) => self.put(revision, object, whereabouts_of(object)),
+            Change::All(objects) => self.apply_list(revision, objects, digest_of),
+            Change::Put(object) => self.put(revision, object, digest_of(object)),
             Change::Gone(name) => self.remove(revision, name),
         }
     }
@@ -531,15 +533,14 @@
         &mut self,
         revision: u64,
         objects: &[Object],
-        whereabouts_of: &impl Fn(&Object) -> Option<Whereabouts>,
+        digest_of: &impl Fn(&Object) -> Option<RoutingDigest>,
     ) {
         let mut names: Vec<&str> = objects.iter().map(|object| object.name.as_str()).collect();
         names.sort_unstable();
         let is_listed =
             |mirrored: &MirroredObject| names.binary_search(&mirrored.object.name.as_str()).is_ok();
         if self.has_no_revision() || self.has_lost_majority(is_listed) {
-            let to_mirrored =
-                |object| MirroredObject::new(revision, object, whereabouts_of(object));
+            let to_mirrored = |object| MirroredObject::new(revision, object, digest_of(object));
             self.objects = objects.iter().map(to_mirrored).collect();
             self.objects
                 .sort_by(|a, b| a.object.name.cmp(&b.object.name));
@@ -560,7 +561,7 @@
                 .position_of(&object.name)
                 .map(|at| &self.objects[at].object);
             if !known.is_ok_and(|known| known.is_same_state(object)) {
-                self.put(revision, object, whereabouts_of(object));
+                self.put(revision, object, digest_of(object));
             }
         }
     }
@@ -573,7 +574,7 @@
     /// as one service.
     fn has_lost_majority(&self, is_listed: impl Fn(&MirroredObject) -> bool) -> bool {
         let service_of =
-            |mirrored: &MirroredObject| mirrored.whereabouts.map(|routing| routing.service);
+            |mirrored: &MirroredObject| mirrored.routing.map(|routing| routing.service);
         let mut services: Vec<(Option<u64>, bool)> = self
             .objects
             .iter()
@@ -595,17 +596,17 @@
         objects.binary_search_by(|mirrored| mirrored.object.name.as_str().cmp(name))
     }
 
-    fn put(&mut self, revision: u64, object: &Object, whereabouts: Option<Whereabouts>) {
-        let mut new = MirroredObject::new(revision, object, whereabouts);
+    fn put(&mut self, revision: u64, object: &Object, routing: Option<RoutingDigest>) {
+        let mut new = MirroredObject::new(revision, object, routing);
         match self.position_of(&object.name) {
             Ok(at) => {
                 let mirrored = &mut self.objects[at];
-                let service = |routing: Option<Whereabouts>| routing.map(|routing| routing.service);
-                if mirrored.whereabouts == whereabouts && whereabouts.is_some() {
+                let service = |digest: Option<RoutingDigest>| digest.map(|digest| digest.service);
+                if mirrored.routing == routing && routing.is_some() {
                     new.routing_revision = mirrored.routing_revision;
-                } else if service(mirrored.whereabouts) != service(whereabouts) {
+                } else if service(mirrored.routing) != service(routing) {
                     // Nodes that follow the previous service need this change too.
-                    new.whereabouts = None;
+                    new.routing = None;
                 }
                 *mirrored = new;
             }
@@ -631,18 +632,18 @@
 }
 
 impl MirroredObject {
-    fn new(revision: u64, object: &Object, whereabouts: Option<Whereabouts>) -> Self {
+    fn new(revision: u64, object: &Object, routing: Option<RoutingDigest>) -> Self {
         Self {
             object: relayed_object(object),
-            whereabouts,
+            routing,
             changed_revision: revision,
             routing_revision: revision,
         }
     }
 
     /// Which changes the request selects. Objects without a routing digest are sent to every node.
-    fn relevance_for(&self, question: &Question) -> Relevance {
-        match (&question.parts, self.whereabouts) {
+    fn relevance_for(&self, request: &RelayRequest) -> Relevance {
+        match (&request.parts, self.routing) {
             (None, _) => Relevance::AllChanges,
             (Some(parts), Some(routing)) => parts.relevance_of(routing),
             (Some(_), None) => Relevance::RoutingChanges,
@@ -650,7 +651,7 @@
     }
 }
 
-impl Passed {
+impl RelayedObject {
     /// Whether both describe the same state of an object.
     fn is_same_state(&self, object: &Object) -> bool {
         self.revision == object.revision
@@ -671,8 +672,8 @@
     }
 }
 
-fn relayed_object(object: &Object) -> Passed {
-    Passed {
+fn relayed_object(object: &Object) -> RelayedObject {
+    RelayedObject {
         name: object.name.clone(),
         revision: object.revision,
         reported: object.reported,
