--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -1,5 +1,5 @@
-//! The samples that a node is making: what is known of each, and the names that decisions
-//! use for samples, engines and models.
+//! State of the samples that a node generates, and the keys that stand for samples, engines and
+//! models in the decisions of [`Placement`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,84 +29,87 @@
 use crate::submission::texts::SampleProgress;
 use crate::submission::texts::TextCache;
 
-/// One sample that is being made, or waits for its score.
+/// One sample that waits for an engine, is being generated or waits for its score.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) key: SampleKey,
     pub(crate) submission: Arc<LocalSubmission>,
-    pub(crate) place: usize,
-    /// Lowest first among those that wait.
+    /// Index of its item in the submission.
+    pub(crate) item_index: usize,
+    /// Rank among waiting samples unless they are ordered by slack; the lowest starts first.
     pub(crate) rank: u64,
     /// Index of its group within the step, in the trainer's order.
     pub(crate) group: usize,
     /// Number of groups in its step.
     pub(crate) groups: usize,
     /// Its position by slack, which replaces `rank`; `None` if samples are not ordered by slack.
-    pub(crate) by_slack: Option<SampleRank>,
+    pub(crate) slack_rank: Option<SampleRank>,
     /// Its slack in milliseconds at its first start; `None` before that, or if samples are not
     /// ordered by slack.
     pub(crate) first_slack_ms: Option<i64>,
     pub(crate) progress: SampleProgress,
     pub(crate) running: bool,
-    /// When it was first offered, and first started.
-    pub(crate) offered: Instant,
-    pub(crate) first_start: Option<Instant>,
-    /// When its text was whole.
-    pub(crate) drafted: Option<Instant>,
-    /// Runs so far.
-    pub(crate) tries: u32,
-    /// Runs in a row that ended since nothing came.
-    pub(crate) silences: u32,
+    /// When it was added.
+    pub(crate) added_at: Instant,
+    /// When its first run started.
+    pub(crate) first_started_at: Option<Instant>,
+    /// When its text was complete.
+    pub(crate) text_completed_at: Option<Instant>,
+    /// Number of runs so far.
+    pub(crate) runs: u32,
+    /// Runs in a row that ended with a timeout.
+    pub(crate) timeouts_in_row: u32,
     /// Tells the run to leave its engine.
     pub(crate) leave: Arc<Notify>,
     /// Reason for which its run is to leave its engine; `None` unless it is moved.
-    pub(crate) moved: Option<MoveReason>,
+    pub(crate) move_reason: Option<MoveReason>,
 }
 
-/// An engine for one run of one sample.
+/// The engine for one run of one sample.
 #[derive(Debug)]
 pub(crate) struct Assigned {
     pub(crate) upstream: Arc<Upstream>,
-    /// How long a next event is waited for.
-    pub(crate) patience: Duration,
+    /// Timeout of each event after the first.
+    pub(crate) event_timeout: Duration,
     /// Tells the run to leave its engine.
     pub(crate) leave: Arc<Notify>,
 }
 
-/// All samples of a node, and the engines that make them.
+/// All samples of a node, and the engines that generate them.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) placement: Placement,
     /// Sorted by key.
     pub(crate) jobs: Vec<Job>,
-    /// Models of submissions that are drafted, or were until the last sample ended; sorted.
-    pub(crate) models_drafted: Vec<DraftedModel>,
+    /// Models of the submissions as of the last one that was added or removed; sorted.
+    pub(crate) drafted_models: Vec<DraftedModel>,
     /// Sorted by key.
     pub(crate) engines: Vec<(UpstreamKey, Arc<Upstream>)>,
-    /// Engines that are about to be removed and whose samples are to move; sorted.
+    /// Engines that will be removed soon and whose samples have to move; sorted.
     pub(crate) leaving: Vec<UpstreamKey>,
-    /// Sorted by instance. Never removed, so that a key names one instance.
-    pub(crate) keys: Vec<(Instance, UpstreamKey)>,
-    /// Sorted by service and model. Never removed either.
-    pub(crate) models: Vec<(String, ModelKey)>,
-    pub(crate) next_draft: u64,
-    /// What the engines were last taken from.
-    pub(crate) seen: Option<FleetSeen>,
-    /// They are not taken again before.
-    pub(crate) engines_after: Option<Instant>,
-    /// Samples that wait are not looked at for their age before.
-    pub(crate) expired_after: Option<Instant>,
+    /// Sorted by instance. Entries are never removed, so that a key stands for one instance.
+    pub(crate) engine_keys: Vec<(Instance, UpstreamKey)>,
+    /// Sorted by service and model. Entries are never removed.
+    pub(crate) model_keys: Vec<(String, ModelKey)>,
+    pub(crate) next_key: u64,
+    /// State of the fleet from which the engines were last updated.
+    pub(crate) applied_fleet: Option<FleetSeen>,
+    /// The engines are not updated before this time.
+    pub(crate) next_engine_update: Option<Instant>,
+    /// Waiting samples are not checked for expiry before this time.
+    pub(crate) next_expiry_check: Option<Instant>,
     pub(crate) config_version: u64,
-    pub(crate) kept: TextCache,
+    /// Texts of samples that ended or were removed, in case their items are submitted again.
+    pub(crate) texts: TextCache,
     /// Whether waiting samples are ordered by the slack of their steps.
-    pub(crate) by_slack: bool,
+    pub(crate) is_by_slack: bool,
     /// Waiting samples are not reordered before this time; `None` if they may be at once.
-    pub(crate) ordered_after: Option<Instant>,
+    pub(crate) next_reorder: Option<Instant>,
     pub(crate) lengths: LengthEstimator,
 }
 
-/// What a node knows of its fleet at one time. Samples end many times a second, and
-/// engines are only taken in again once this has changed.
+/// What a node knows of its fleet at one time. Samples end many times a second, so the
+/// engines are only updated if this has changed.
 #[derive(Debug)]
 pub(crate) struct FleetSeen {
     pub(crate) config: Arc<Config>,
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Nothing was published in between: each of them is replaced whole.
+    /// Whether nothing changed in between: each change replaces the shared value.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.config, &other.config)
             && Arc::ptr_eq(&self.upstreams, &other.upstreams)
@@ -131,8 +134,8 @@
     }
 }
 
-/// The result of an item whose text is whole.
-pub(crate) fn completed(item: &Item, progress: &SampleProgress) -> ItemResult {
+/// The result of an item whose text is complete.
+pub(crate) fn completed_result(item: &Item, progress: &SampleProgress) -> ItemResult {
     ItemResult {
         item: item.id.clone(),
         state: ItemState::Completed,
@@ -142,8 +145,8 @@
     }
 }
 
-/// The text is whole, and has the score that this item asks for: an item that comes again
-/// keeps its text, but may ask for another score.
+/// Whether the text is complete and has the score that this item asks for: an item that is
+/// submitted again keeps its text, but may ask for another score.
 pub(crate) fn is_done(item: &Item, progress: &SampleProgress) -> bool {
     let held = progress.score.as_ref().map(|score| &score.call);
     let scored = item.reward_call.is_none() || held == item.reward_call.as_ref();
@@ -151,22 +154,22 @@
 }
 
 /// Group index of each sample of a submission; groups are numbered in the trainer's order.
-pub(crate) fn groups_of(submission: &LocalSubmission) -> Vec<usize> {
+pub(crate) fn group_indices(submission: &LocalSubmission) -> Vec<usize> {
     let mut groups: Vec<&str> = Vec::new();
-    let mut numbers = Vec::new();
+    let mut indices = Vec::new();
     for item in &submission.items {
-        // Items of one group stand together, so the last ones are looked at first.
+        // Items of one group are adjacent, so the search starts at the last group.
         let group = groups.iter().rposition(|group| *group == item.group);
-        numbers.push(group.unwrap_or_else(|| {
+        indices.push(group.unwrap_or_else(|| {
             groups.push(&item.group);
             groups.len() - 1
         }));
     }
-    numbers
+    indices
 }
 
-/// Ranks of a submission's samples; all alike unless the longest go first.
-pub(crate) fn ranks_of(
+/// Ranks of a submission's samples; all equal unless the longest start first.
+pub(crate) fn initial_ranks(
     submission: &LocalSubmission,
     groups: &[usize],
     long_first: bool,
@@ -185,13 +188,13 @@
 
 impl Job {
     /// Rank among waiting samples; the lowest starts first.
-    pub(crate) fn order(&self) -> u64 {
-        self.by_slack.map_or(self.rank, |place| place.rank)
+    pub(crate) fn current_rank(&self) -> u64 {
+        self.slack_rank.map_or(self.rank, |by_slack| by_slack.rank)
     }
 }
 
 impl State {
-    pub(crate) fn job_at(&self, key: SampleKey) -> Option<usize> {
+    pub(crate) fn job_index(&self, key: SampleKey) -> Option<usize> {
         self.jobs.binary_search_by_key(&key, |job| job.key).ok()
     }
 
@@ -200,13 +203,15 @@
         at.ok().map(|at| Arc::clone(&self.engines[at].1))
     }
 
-    pub(crate) fn key_of(&mut self, instance: &Instance) -> UpstreamKey {
-        let found = self.keys.binary_search_by(|(held, _)| held.cmp(instance));
+    pub(crate) fn engine_key(&mut self, instance: &Instance) -> UpstreamKey {
+        let found = self
+            .engine_keys
+            .binary_search_by(|(held, _)| held.cmp(instance));
         match found {
-            Ok(at) => self.keys[at].1,
+            Ok(at) => self.engine_keys[at].1,
             Err(at) => {
-                let key = UpstreamKey(self.keys.len() as u32);
-                self.keys.insert(at, (instance.clone(), key));
+                let key = UpstreamKey(self.engine_keys.len() as u32);
+                self.engine_keys.insert(at, (instance.clone(), key));
                 key
             }
         }
@@ -214,11 +219,14 @@
 
     pub(crate) fn model_key(&mut self, service: &str, model: &str) -> ModelKey {
         let name = format!("{service}/{model}");
-        match self.models.binary_search_by(|(held, _)| held.cmp(&name)) {
-            Ok(at) => self.models[at].1,
+        match self
+            .model_keys
+            .binary_search_by(|(held, _)| held.cmp(&name))
+        {
+            Ok(at) => self.model_keys[at].1,
             Err(at) => {
-                let key = ModelKey(self.models.len() as u32);
-                self.models.insert(at, (name, key));
+                let key = ModelKey(self.model_keys.len() as u32);
+                self.model_keys.insert(at, (name, key));
                 key
             }
         }
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -1,5 +1,5 @@
-//! One attempt of one sample on one engine: the request, its stream, and what is true of
-//! each event before it counts.
+//! One run of one sample on one engine: sends the request, reads the stream and checks each
+//! event before it is recorded.
 
 use std::time::Duration;
 
@@ -20,65 +20,65 @@
 use crate::shared::Shared;
 use crate::submission::local::LocalSubmission;
 
-/// A first event may take this much longer than a next one: the prompt is read first, and
-/// the engine may have a queue.
-const FIRST_EVENT_FACTOR: f64 = 1.25;
+/// Ratio of the timeout of the first event to that of later ones: the engine first processes
+/// the prompt, and may queue the request.
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// An event longer than this is no event.
-const EVENT_LIMIT_BYTES: usize = 1 << 20;
+/// Largest event of a stream; a longer one breaks the run.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// How one attempt on an engine ended.
+/// How a run on an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Attempt {
-    /// The stream came to its end.
+    /// The stream is complete.
     Whole,
-    /// The engine says that it did not run the item.
+    /// The engine reports that it did not run the item.
     NotRun,
-    /// The engine says that the item failed.
+    /// The engine reports that the item failed.
     Failed,
-    /// The engine says that the item can never be done.
+    /// The engine reports that the item can never be run, or no request can be made of it.
     Impossible,
-    /// The connection or the stream broke, or nothing came any more.
+    /// The connection or the stream broke, an answer was unusable, or an event timed out.
     Broken(&'static str),
-    /// The engine's weights are too old for the sample.
+    /// The engine's weights are older than the sample's minimum version.
     TooOld,
-    /// The sample may not mix versions of weights, and these are others than before.
+    /// The version of the weights changed in a sample that must not mix versions.
     VersionChanged,
-    /// It is to go on at another engine.
+    /// The run was told to leave its engine, or the submission ended before it was sent.
     Moved,
 }
 
-/// How far a run has come.
+/// Progress of a sample's text, earlier runs included.
 #[derive(Debug)]
 pub(crate) struct Reached {
     /// Number of the last event; 0 for none.
-    pub(crate) event: u64,
-    /// Versions that made an event, ascending.
+    pub(crate) last_event: u64,
+    /// Versions of the weights that generated an event, ascending.
     pub(crate) versions: Vec<u64>,
-    /// Events of this run.
-    pub(crate) made: u32,
+    /// Number of events of this run.
+    pub(crate) events_of_run: u32,
 }
 
-/// One attempt of one item on one engine.
+/// One run of one item on one engine.
 pub(crate) struct Run<'a> {
     pub(crate) shared: &'a Shared,
-    /// Takes each event as it comes, with the version that made it.
-    pub(crate) take_event: &'a (dyn Fn(StreamEvent, u64) + Send + Sync),
-    /// Takes the load that the engine reports in the head of its answer.
-    pub(crate) take_load: &'a (dyn Fn(ReportedLoad) + Send + Sync),
+    /// Called with each event and the version of the weights that generated it.
+    pub(crate) on_event: &'a (dyn Fn(StreamEvent, u64) + Send + Sync),
+    /// Called with the load that the engine reports in the head of its answer.
+    pub(crate) on_load: &'a (dyn Fn(ReportedLoad) + Send + Sync),
     pub(crate) submission: &'a LocalSubmission,
     pub(crate) item: &'a Item,
     pub(crate) upstream: &'a Upstream,
-    /// A first event has come.
-    pub(crate) started: bool,
-    /// How long a next event is waited for.
-    pub(crate) patience: Duration,
+    /// Whether a first event has arrived.
+    pub(crate) has_first_event: bool,
+    /// Timeout of each event after the first.
+    pub(crate) event_timeout: Duration,
 }
 
 impl Reached {
     fn add(&mut self, event: u64, version: u64) {
-        self.event = event;
-        self.made += 1;
+        self.last_event = event;
+        self.events_of_run += 1;
         if let Err(at) = self.versions.binary_search(&version) {
             self.versions.insert(at, version);
         }
@@ -86,27 +86,28 @@
 }
 
 impl Run<'_> {
-    /// Runs it to its end, from when the submission is known to be wanted still.
+    /// Runs the item to the end of its stream. Waits first for a recent read of the submission's
+    /// head, so that no run starts for a submission that has ended.
     pub(crate) async fn attempt(&mut self, reached: &mut Reached) -> Attempt {
         let limits = self.shared.settings.now().head_limits();
         let clock = &*self.shared.boot_clock;
         let is_over = || !self.submission.is_running();
-        let young = self
+        let fresh = self
             .submission
             .head_view
             .wait_until_fresh(clock, &limits, is_over);
-        young.await;
+        fresh.await;
         if is_over() {
             return Attempt::Moved;
         }
-        let draft = DraftRequest {
+        let request = DraftRequest {
             item: self.item,
             host: &self.submission.head.host,
             upstream: self.upstream,
-            after_event: reached.event,
+            after_event: reached.last_event,
             account: self.submission.head.account.as_deref(),
         };
-        let request = match self.shared.dialect.draft_request(&draft) {
+        let request = match self.shared.dialect.draft_request(&request) {
             Ok(request) => request,
             Err(error) => {
                 self.shared.journal.event(
@@ -117,7 +118,7 @@
             }
         };
         let sending = self.shared.connections.send(self.upstream.address, request);
-        let exchange = match tokio::time::timeout(self.first_patience(), sending).await {
+        let exchange = match tokio::time::timeout(self.first_event_timeout(), sending).await {
             Ok(Ok(exchange)) => exchange,
             Ok(Err(CallError::Refused)) => return Attempt::Broken("refused"),
             Ok(Err(CallError::NotSent)) => return Attempt::Broken("not-sent"),
@@ -127,24 +128,24 @@
         self.read(exchange, reached).await
     }
 
-    fn first_patience(&self) -> Duration {
-        self.patience.mul_f64(FIRST_EVENT_FACTOR)
+    fn first_event_timeout(&self) -> Duration {
+        self.event_timeout.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
     }
 
     async fn read(&mut self, exchange: StreamingResponse, reached: &mut Reached) -> Attempt {
         let StreamingResponse { answer, connection } = exchange;
         let (head, body) = answer.into_parts();
-        let said = self.shared.dialect.answer_head(&head);
-        if said.request_id.as_deref() != Some(self.item.id.as_str()) {
+        let reported = self.shared.dialect.answer_head(&head);
+        if reported.request_id.as_deref() != Some(self.item.id.as_str()) {
             return Attempt::Broken("foreign-answer");
         }
-        if let Some(load) = said.load {
-            (self.take_load)(load);
+        if let Some(load) = reported.load {
+            (self.on_load)(load);
         }
         match head.status {
-            StatusCode::OK if said.proof.is_some() => {}
+            StatusCode::OK if reported.proof.is_some() => {}
             StatusCode::UNPROCESSABLE_ENTITY => return Attempt::Impossible,
-            _ if said.not_run => {
+            _ if reported.not_run => {
                 if body.collect().await.is_ok() {
                     connection.return_to_pool();
                 }
@@ -153,7 +154,7 @@
             StatusCode::INTERNAL_SERVER_ERROR => return Attempt::Failed,
             _ => return Attempt::Broken("status"),
         }
-        let attempt = self.read_events(body, said.version, reached).await;
+        let attempt = self.read_events(body, reported.version, reached).await;
         if attempt == Attempt::Whole {
             connection.return_to_pool();
         }
@@ -168,15 +169,15 @@
     ) -> Attempt {
         let mut buffer = BytesMut::new();
         loop {
-            let patience = if self.started {
-                self.patience
+            let timeout = if self.has_first_event {
+                self.event_timeout
             } else {
-                self.first_patience()
+                self.first_event_timeout()
             };
-            let frame = match tokio::time::timeout(patience, body.frame()).await {
+            let frame = match tokio::time::timeout(timeout, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_broken))) => return Attempt::Broken("stream"),
-                Ok(None) if buffer.is_empty() && reached.event > 0 => return Attempt::Whole,
+                Ok(None) if buffer.is_empty() && reached.last_event > 0 => return Attempt::Whole,
                 Ok(None) => return Attempt::Broken("cut-event"),
                 Err(_elapsed) => return Attempt::Broken("silent"),
             };
@@ -189,27 +190,28 @@
                     Err(_malformed) => return Attempt::Broken("malformed-event"),
                 };
                 version = event.version.or(version);
-                // An answer without events carries none: it was asked to go on behind
-                // the last one, when the run before had lost only its end.
+                // An answer without events has no version: it continues a text of which an
+                // earlier run had received all events but not the end.
                 let Some(version) = version else {
                     return Attempt::Broken("no-version");
                 };
                 if let Err(unusable) = self.check(&event, version, reached) {
                     return unusable;
                 }
-                self.started = true;
+                self.has_first_event = true;
                 reached.add(event.number, version);
-                (self.take_event)(event, version);
+                (self.on_event)(event, version);
             }
-            if buffer.len() > EVENT_LIMIT_BYTES {
+            if buffer.len() > MAX_EVENT_BYTES {
                 return Attempt::Broken("long-event");
             }
         }
     }
 
-    /// An event is the next one, made by weights that the trainer takes.
+    /// Checks that an event is the next one and that the trainer accepts the version of the
+    /// weights that generated it.
     fn check(&self, event: &StreamEvent, version: u64, reached: &Reached) -> Result<(), Attempt> {
-        if event.number != reached.event + 1 {
+        if event.number != reached.last_event + 1 {
             return Err(Attempt::Broken("event-out-of-order"));
         }
         if version < self.submission.head.min_version {
@@ -226,7 +228,7 @@
     }
 }
 
-/// Takes the first whole event out of the buffer.
+/// Removes the first complete event from the buffer.
 fn next_event(buffer: &mut BytesMut) -> Option<Bytes> {
     let end = memmem::find(buffer, b"\n\n")?;
     let event = buffer.split_to(end + 2).freeze();
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -1,5 +1,6 @@
-//! Drafts the items of the submissions that this node runs: takes decisions from
-//! [`Placement`], sends items to engines and reads their streams.
+//! Generates the samples of the submissions that this node runs, in short: drafts them.
+//! [`Placement`] decides which sample starts on which engine; this module sends the requests
+//! and reads the streams.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -28,10 +29,10 @@
 use crate::draft_jobs::FleetSeen;
 use crate::draft_jobs::Job;
 use crate::draft_jobs::State;
-use crate::draft_jobs::completed;
-use crate::draft_jobs::groups_of;
+use crate::draft_jobs::completed_result;
+use crate::draft_jobs::group_indices;
+use crate::draft_jobs::initial_ranks;
 use crate::draft_jobs::is_done;
-use crate::draft_jobs::ranks_of;
 use crate::draft_run::Attempt;
 use crate::draft_run::Reached;
 use crate::draft_run::Run;
@@ -42,8 +43,8 @@
 use crate::model::ItemResult;
 use crate::model::ItemState;
 use crate::relay::hash_of_name;
-use crate::sample_order::note_length;
-use crate::sample_order::note_step;
+use crate::sample_order::record_length;
+use crate::sample_order::record_step;
 use crate::scaling::drain::leaving_engines;
 use crate::scoring::Scored;
 use crate::scoring::Scoring;
@@ -53,13 +54,13 @@
 use crate::submission::records::TextPiece;
 use crate::submission::texts::SavedText;
 
-/// Events from which a text is worth saving: shorter ones are soon made anew.
-const WORTH_SAVING: usize = 25;
+/// Least number of events of a text that is saved: a shorter one is quickly generated again.
+const MIN_SAVED_EVENTS: usize = 25;
 
-/// Time between looks at what nothing else wakes up for.
+/// Longest time between two checks for work of which no notification tells.
 pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(250);
 
-/// Drafts items; cheap to clone.
+/// Generates the samples of this node's submissions; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Drafting {
     pub(crate) shared: Shared,
@@ -74,7 +75,7 @@
 }
 
 impl Drafting {
-    /// Nothing to draft yet.
+    /// Creates it without samples.
     #[must_use]
     pub fn new(shared: Shared, scoring: Scoring) -> Self {
         Self {
@@ -84,32 +85,32 @@
         }
     }
 
-    /// Drafts all items of a submission that have no result yet.
+    /// Adds all items of a submission that have no result yet.
     pub fn add(&self, submission: &Arc<LocalSubmission>) {
         let long_first = self.shared.off.leaves(Mechanism::LongFirst);
-        let groups = groups_of(submission);
-        let ranks = ranks_of(submission, &groups, long_first);
+        let groups = group_indices(submission);
+        let ranks = initial_ranks(submission, &groups, long_first);
         let mut state = self.lock();
-        note_step(&mut state, submission);
-        for (place, rank) in ranks.into_iter().enumerate() {
-            if submission.is_item_open(place) {
-                self.add_item(&mut state, submission, place, rank, &groups);
+        record_step(&mut state, submission);
+        for (item_index, rank) in ranks.into_iter().enumerate() {
+            if submission.is_item_open(item_index) {
+                self.add_item(&mut state, submission, item_index, rank, &groups);
             }
         }
-        self.count_models(&mut state);
+        self.update_drafted_models(&mut state);
         drop(state);
         self.inner.wake.notify_one();
     }
 
-    /// Counts the engines that the models of all samples need.
-    fn count_models(&self, state: &mut State) {
+    /// Recomputes how many engines the models of all samples need.
+    fn update_drafted_models(&self, state: &mut State) {
         let config = self.shared.fleet.config();
-        let mut drafted: Vec<DraftedModel> = Vec::new();
-        let mut before = None;
+        let mut models: Vec<DraftedModel> = Vec::new();
+        let mut previous = None;
         for job in &state.jobs {
             let head = &job.submission.head;
-            // Samples of one step stand together.
-            if before.replace(&job.submission.id) == Some(&job.submission.id) {
+            // Samples of one step are adjacent.
+            if previous.replace(&job.submission.id) == Some(&job.submission.id) {
                 continue;
             }
             let route = config.route(&head.host, &head.path);
@@ -122,98 +123,98 @@
                 model: hash_of_name(&head.model),
                 engines: engines_needed(samples, slots),
             };
-            match drafted.binary_search_by_key(&model.model, |held| held.model) {
-                Ok(at) => drafted[at].engines = drafted[at].engines.max(model.engines),
-                Err(at) => drafted.insert(at, model),
+            match models.binary_search_by_key(&model.model, |held| held.model) {
+                Ok(at) => models[at].engines = models[at].engines.max(model.engines),
+                Err(at) => models.insert(at, model),
             }
         }
-        state.models_drafted = drafted;
+        state.drafted_models = models;
     }
 
     fn add_item(
         &self,
         state: &mut State,
         submission: &Arc<LocalSubmission>,
-        place: usize,
+        item_index: usize,
         rank: u64,
         groups: &[usize],
     ) {
-        let item = &submission.items[place];
-        let kept = state.kept.take(&item.id, submission.head.min_version);
-        let kept = kept.map(|kept| kept.progress);
-        if let Some(progress) = kept.as_ref().filter(|kept| is_done(item, kept)) {
-            submission.add_result(self.shared.clock.now(), completed(item, progress));
-            // It may come yet again.
-            state.kept.insert(&item.id, progress.clone());
+        let item = &submission.items[item_index];
+        let cached = state.texts.take(&item.id, submission.head.min_version);
+        let cached = cached.map(|cached| cached.progress);
+        if let Some(progress) = cached.as_ref().filter(|cached| is_done(item, cached)) {
+            submission.add_result(self.shared.clock.now(), completed_result(item, progress));
+            // The same item may be submitted again.
+            state.texts.insert(&item.id, progress.clone());
             return;
         }
-        // A whole text goes first, then what is saved: what is saved later has to follow
-        // from it.
-        let complete = kept.as_ref().filter(|kept| kept.complete).cloned();
+        // A complete text is preferred, then the saved one: pieces that are saved later have
+        // to continue it.
+        let complete = cached.as_ref().filter(|cached| cached.complete).cloned();
         let progress = complete
             .or_else(|| submission.saved_text(&item.id))
-            .or(kept);
-        let key = SampleKey(state.next_draft);
-        state.next_draft += 1;
+            .or(cached);
+        let key = SampleKey(state.next_key);
+        state.next_key += 1;
         state.jobs.push(Job {
             key,
             submission: Arc::clone(submission),
-            place,
+            item_index,
             rank,
-            group: groups[place],
+            group: groups[item_index],
             groups: groups.iter().max().map_or(0, |last| last + 1),
-            by_slack: None,
+            slack_rank: None,
             first_slack_ms: None,
             progress: progress.unwrap_or_default(),
             running: false,
-            offered: self.shared.clock.now(),
-            first_start: None,
-            drafted: None,
-            tries: 0,
-            silences: 0,
+            added_at: self.shared.clock.now(),
+            first_started_at: None,
+            text_completed_at: None,
+            runs: 0,
+            timeouts_in_row: 0,
             leave: Arc::default(),
-            moved: None,
+            move_reason: None,
         });
-        self.go_on(state, key);
+        self.continue_sample(state, key);
     }
 
-    /// Drafts what is missing of an item's text, or has the whole text scored.
-    fn go_on(&self, state: &mut State, key: SampleKey) {
-        let Some(at) = state.job_at(key) else {
+    /// Queues a sample whose text is incomplete, or has the complete text scored.
+    fn continue_sample(&self, state: &mut State, key: SampleKey) {
+        let Some(at) = state.job_index(key) else {
             return;
         };
         if !state.jobs[at].progress.complete {
-            return self.offer(state, key);
+            return self.enqueue(state, key);
         }
         let job = &mut state.jobs[at];
-        let item = Arc::clone(&job.submission.items[job.place]);
+        let item = Arc::clone(&job.submission.items[job.item_index]);
         let Some(call) = item.reward_call.clone() else {
-            return self.complete(state, at);
+            return self.record_result(state, at);
         };
         job.running = true;
-        // A run that ended as it was told to leave has left that word unread.
+        // A run that ended on its own may have left a notification to leave unread.
         job.leave = Arc::default();
         let (submission, leave) = (Arc::clone(&job.submission), Arc::clone(&job.leave));
         let drafting = self.clone();
         drop(tokio::spawn(async move {
             let scored = tokio::select! {
                 scored = drafting.scoring.score(&submission, &item, &call) => scored,
-                // No one wants it any more.
+                // The submission was removed.
                 () = leave.notified() => return,
             };
-            drafting.take_score(key, scored);
+            drafting.record_score(key, scored);
         }));
     }
 
-    fn take_score(&self, key: SampleKey, scored: Scored) {
+    fn record_score(&self, key: SampleKey, scored: Scored) {
         let mut state = self.lock();
-        let Some(at) = state.job_at(key) else {
+        let Some(at) = state.job_index(key) else {
             return;
         };
         match scored {
             Scored::Score(score) => {
                 state.jobs[at].progress.score = Some(score);
-                self.complete(&mut state, at);
+                self.record_result(&mut state, at);
             }
             Scored::GivenUp(reason) => self.abandon(&mut state, key, reason),
         }
@@ -227,37 +228,37 @@
         route.map_or(Duration::ZERO, |route| Duration::from_millis(route.due_ms))
     }
 
-    /// Whether anything is being drafted or waits for it.
+    /// Whether any sample is running, waits for an engine or waits for its score.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         !self.lock().jobs.is_empty()
     }
 
-    /// Stops drafting a submission; engines stop as their connections close.
+    /// Stops all runs of a submission; engines stop as their connections close.
     pub fn remove(&self, submission: &str) {
         let mut guard = self.lock();
         let state = &mut *guard;
-        let (gone, kept) = std::mem::take(&mut state.jobs)
+        let (removed, remaining) = std::mem::take(&mut state.jobs)
             .into_iter()
             .partition(|job| job.submission.id == submission);
-        state.jobs = kept;
-        let gone: Vec<Job> = gone;
-        let is_gone = |key: SampleKey| gone.binary_search_by_key(&key, |job| job.key).is_ok();
-        state.placement.cancel(is_gone);
-        for job in gone {
+        state.jobs = remaining;
+        let removed: Vec<Job> = removed;
+        let is_removed = |key: SampleKey| removed.binary_search_by_key(&key, |job| job.key).is_ok();
+        state.placement.cancel(is_removed);
+        for job in removed {
             if job.running {
                 job.leave.notify_one();
             }
             self.count_discarded(state, &job);
-            let item = &job.submission.items[job.place];
-            state.kept.insert(&item.id, job.progress);
+            let item = &job.submission.items[job.item_index];
+            state.texts.insert(&item.id, job.progress);
         }
-        self.count_models(&mut guard);
+        self.update_drafted_models(&mut guard);
         drop(guard);
         self.inner.wake.notify_one();
     }
 
-    /// Places drafts for as long as the process lives.
+    /// Starts and moves samples; never returns.
     pub async fn run(self) {
         let mut until = tokio::time::Instant::now();
         loop {
@@ -266,28 +267,28 @@
                 () = self.shared.fleet.changed() => {}
                 () = tokio::time::sleep_until(until) => {}
             }
-            until = self.place();
+            until = self.place_samples();
         }
     }
 
-    /// Starts what can start; tells when to look again.
-    fn place(&self) -> tokio::time::Instant {
+    /// Starts and moves samples where possible; returns when to check again.
+    fn place_samples(&self) -> tokio::time::Instant {
         let now = self.shared.clock.now();
         let mut state = self.lock();
         let drafts = !state.jobs.is_empty();
         let models = if drafts {
-            state.models_drafted.as_slice()
+            state.drafted_models.as_slice()
         } else {
             &[]
         };
         self.shared.interest.take_drafting(now, models);
         if drafts {
-            self.take_engines(&mut state);
+            self.update_engines(&mut state);
         }
-        self.give_up_expired(&mut state);
+        self.abandon_expired(&mut state);
         self.order_waiting(&mut state, now);
-        while let Some((draft, engine)) = state.placement.next(now) {
-            self.start(&mut state, draft, engine);
+        while let Some((key, engine)) = state.placement.next(now) {
+            self.start_run(&mut state, key, engine);
         }
         let state = &mut *state;
         let leave = state.placement.moves_from(now, &state.leaving);
@@ -297,58 +298,63 @@
             Vec::new()
         };
         for key in leave {
-            if let Some(at) = state.job_at(key) {
+            if let Some(at) = state.job_index(key) {
                 state.jobs[at].leave.notify_one();
             }
         }
-        for moved in moves {
-            self.leave(state, moved);
+        for planned in moves {
+            self.request_move(state, planned);
         }
         let latest = now + LOOK_EVERY;
-        let engines = state.engines_after.filter(|after| *after > now);
-        let looks = [state.placement.next_retry_at(now), engines];
-        let look = looks.into_iter().flatten().min();
-        tokio::time::Instant::from_std(look.unwrap_or(latest).min(latest))
+        let engines = state.next_engine_update.filter(|after| *after > now);
+        let times = [state.placement.next_retry_at(now), engines];
+        let next = times.into_iter().flatten().min();
+        tokio::time::Instant::from_std(next.unwrap_or(latest).min(latest))
     }
 
     /// Tells a run to leave its engine and counts the reason.
-    fn leave(&self, state: &mut State, moved: Move) {
-        let Some(at) = state.job_at(moved.key) else {
+    fn request_move(&self, state: &mut State, planned: Move) {
+        let Some(at) = state.job_index(planned.key) else {
             return;
         };
         let job = &mut state.jobs[at];
-        job.moved = Some(moved.reason);
+        job.move_reason = Some(planned.reason);
         job.leave.notify_one();
-        self.shared.journal.count(match moved.reason {
+        self.shared.journal.count(match planned.reason {
             MoveReason::Silent => "draft.moved_silent",
             MoveReason::Slow(_) => "draft.moved_slow",
         });
     }
 
-    /// Takes in the engines if anything of them has changed, but not too often.
-    fn take_engines(&self, state: &mut State) {
+    /// Passes the engines to the placement if the fleet has changed. The next update waits for
+    /// a time that grows with the duration of this one.
+    fn update_engines(&self, state: &mut State) {
         let began = self.shared.clock.now();
-        if state.engines_after.is_some_and(|after| began < after) {
+        if state.next_engine_update.is_some_and(|after| began < after) {
             return;
         }
-        let seen = FleetSeen::of(&self.shared.fleet);
-        if state.seen.as_ref().is_some_and(|held| held.is_same(&seen)) {
+        let snapshot = FleetSeen::of(&self.shared.fleet);
+        if state
+            .applied_fleet
+            .as_ref()
+            .is_some_and(|held| held.is_same(&snapshot))
+        {
             return;
         }
-        self.take_seen(state, seen);
+        self.apply_fleet(state, snapshot);
         let took = self.shared.clock.now().duration_since(began);
-        state.engines_after = Some(began + pause_after(took, Duration::ZERO));
+        state.next_engine_update = Some(began + pause_after(took, Duration::ZERO));
     }
 
-    fn take_seen(&self, state: &mut State, seen: FleetSeen) {
-        let config = Arc::clone(&seen.config);
-        self.update_slack_order(state, &seen);
-        state.seen = Some(seen);
+    fn apply_fleet(&self, state: &mut State, snapshot: FleetSeen) {
+        let config = Arc::clone(&snapshot.config);
+        self.update_slack_order(state, &snapshot);
+        state.applied_fleet = Some(snapshot);
         let mut engines = Vec::new();
         let mut states = Vec::new();
         for engine in rollout_engines(&self.shared.fleet).serving {
             let upstream = &engine.upstream;
-            let key = state.key_of(&upstream.instance);
+            let key = state.engine_key(&upstream.instance);
             let mut versions: Vec<(ModelKey, u64)> = upstream
                 .models
                 .iter()
@@ -375,18 +381,18 @@
         state.engines = engines;
         state.leaving = leaving_engines(&self.shared)
             .iter()
-            .map(|engine| state.key_of(&engine.instance))
+            .map(|engine| state.engine_key(&engine.instance))
             .collect();
         state.leaving.sort_unstable();
         state.placement.set_engines(states);
         if state.config_version != config.version {
             state.config_version = config.version;
-            self.offer_again(state);
+            self.requeue_waiting(state);
         }
     }
 
-    /// Routes may lead elsewhere now.
-    fn offer_again(&self, state: &mut State) {
+    /// Queues all waiting samples anew, as their routes may lead to other services now.
+    fn requeue_waiting(&self, state: &mut State) {
         state.placement.cancel(|_| true);
         let waiting: Vec<SampleKey> = state
             .jobs
@@ -395,27 +401,27 @@
             .map(|job| job.key)
             .collect();
         for key in waiting {
-            self.offer(state, key);
+            self.enqueue(state, key);
         }
     }
 
-    /// Lets an item wait for an engine, or gives it up if its route is gone.
-    fn offer(&self, state: &mut State, key: SampleKey) {
-        let Some(at) = state.job_at(key) else {
+    /// Queues a sample for an engine, or abandons it if its route no longer exists.
+    fn enqueue(&self, state: &mut State, key: SampleKey) {
+        let Some(at) = state.job_index(key) else {
             return;
         };
         let submission = Arc::clone(&state.jobs[at].submission);
-        let place = state.jobs[at].place;
+        let item_index = state.jobs[at].item_index;
         let config = self.shared.fleet.config();
         let route = config.route(&submission.head.host, &submission.head.path);
         let Some(target) = route.and_then(|route| route.targets.first()) else {
-            // Without a configuration nothing is known of routes.
+            // Without a configuration no routes are known.
             if config.version > 0 {
                 self.abandon(state, key, "route-gone");
             }
             return;
         };
-        let item = &submission.items[place];
+        let item = &submission.items[item_index];
         let model = state.model_key(&target.service, &submission.head.model);
         state.placement.enqueue(SampleRequest {
             key,
@@ -423,18 +429,18 @@
             model,
             min_version: submission.head.min_version,
             peak_tokens: item.prompt_tokens + item.expected_tokens,
-            rank: state.jobs[at].order(),
+            rank: state.jobs[at].current_rank(),
             events_done: state.jobs[at].progress.events.len() as u32,
         });
     }
 
     fn abandon(&self, state: &mut State, key: SampleKey, reason: &'static str) {
-        let Some(at) = state.job_at(key) else {
+        let Some(at) = state.job_index(key) else {
             return;
         };
         let job = state.jobs.remove(at);
         self.count_discarded(state, &job);
-        let item = &job.submission.items[job.place];
+        let item = &job.submission.items[job.item_index];
         self.shared.journal.event(
             "item_abandoned",
             &[
@@ -454,13 +460,14 @@
         job.submission.add_result(self.shared.clock.now(), result);
     }
 
-    fn give_up_expired(&self, state: &mut State) {
+    fn abandon_expired(&self, state: &mut State) {
         let now = self.shared.clock.now();
-        // Samples end a hundred times a second, and each wait is for seconds.
-        if state.expired_after.is_some_and(|after| now < after) {
+        // This runs at each end of a sample, about a hundred times a second; samples expire
+        // after seconds.
+        if state.next_expiry_check.is_some_and(|after| now < after) {
             return;
         }
-        state.expired_after = Some(now + LOOK_EVERY);
+        state.next_expiry_check = Some(now + LOOK_EVERY);
         let config = self.shared.fleet.config();
         let expired = |job: &Job| {
             let head = &job.submission.head;
@@ -479,64 +486,64 @@
         }
     }
 
-    fn start(&self, state: &mut State, key: SampleKey, engine: UpstreamKey) {
+    fn start_run(&self, state: &mut State, key: SampleKey, engine: UpstreamKey) {
         let now = self.shared.clock.now();
         let engine = state.engine(engine);
-        let (Some(at), Some(upstream)) = (state.job_at(key), engine) else {
+        let (Some(at), Some(upstream)) = (state.job_index(key), engine) else {
             state.placement.finish(now, key, RunOutcome::Cancelled);
             return;
         };
         let job = &mut state.jobs[at];
-        let (submission, place) = (Arc::clone(&job.submission), job.place);
-        let patience = state.placement.event_timeout(job.silences);
+        let (submission, item_index) = (Arc::clone(&job.submission), job.item_index);
+        let event_timeout = state.placement.event_timeout(job.timeouts_in_row);
         let reached = Reached {
-            event: job.progress.last_event,
+            last_event: job.progress.last_event,
             versions: job.progress.versions.clone(),
-            made: 0,
+            events_of_run: 0,
         };
         job.leave = Arc::default();
-        job.moved = None;
+        job.move_reason = None;
         let assigned = Assigned {
             upstream,
-            patience,
+            event_timeout,
             leave: Arc::clone(&job.leave),
         };
         let drafting = self.clone();
         job.running = true;
-        job.tries += 1;
-        job.first_start.get_or_insert(now);
-        self.note_first_slack(job, now);
+        job.runs += 1;
+        job.first_started_at.get_or_insert(now);
+        self.record_first_slack(job, now);
         drop(tokio::spawn(async move {
-            let drafted = drafting.draft(key, submission, place, assigned, reached);
-            drafted.await;
+            let run = drafting.run_on_engine(key, submission, item_index, assigned, reached);
+            run.await;
         }));
     }
 
-    async fn draft(
+    async fn run_on_engine(
         self,
         key: SampleKey,
         submission: Arc<LocalSubmission>,
-        place: usize,
+        item_index: usize,
         assigned: Assigned,
         mut reached: Reached,
     ) {
         let Assigned {
             upstream,
-            patience,
+            event_timeout,
             leave,
         } = assigned;
         let started = self.shared.clock.now();
-        let take_event = |event, version| self.take_event(key, event, version);
-        let take_load = |load| self.take_load(&upstream.instance, load);
+        let on_event = |event, version| self.record_event(key, event, version);
+        let on_load = |load| self.record_load(&upstream.instance, load);
         let mut run = Run {
             shared: &self.shared,
-            take_event: &take_event,
-            take_load: &take_load,
+            on_event: &on_event,
+            on_load: &on_load,
             submission: &submission,
-            item: &submission.items[place],
+            item: &submission.items[item_index],
             upstream: &upstream,
-            started: false,
-            patience,
+            has_first_event: false,
+            event_timeout,
         };
         let attempt = tokio::select! {
             attempt = run.attempt(&mut reached) => attempt,
@@ -548,21 +555,21 @@
             let took_ms = ended.duration_since(started).as_millis();
             let mut fields: Vec<(&str, &dyn Display)> = vec![
                 ("submission", &submission.id),
-                ("item", &submission.items[place].id),
+                ("item", &submission.items[item_index].id),
                 ("upstream", &upstream.instance),
                 ("outcome", &outcome),
-                ("events", &reached.made),
+                ("events", &reached.events_of_run),
                 ("took_ms", &took_ms),
             ];
             let is_moved = attempt == Attempt::Moved;
-            let rest_ms = is_moved.then(|| self.rest_ms(key)).flatten();
-            if let Some((here_ms, there_ms)) = &rest_ms {
-                fields.push(("rest_here_ms", here_ms));
-                fields.push(("rest_there_ms", there_ms));
+            let remaining_ms = is_moved.then(|| self.remaining_ms(key)).flatten();
+            if let Some((current_ms, other_ms)) = &remaining_ms {
+                fields.push(("rest_here_ms", current_ms));
+                fields.push(("rest_there_ms", other_ms));
             }
             self.shared.journal.event("draft_ended", &fields);
         }
-        let ending = match attempt {
+        let run_outcome = match attempt {
             Attempt::Whole => RunOutcome::Done,
             Attempt::NotRun | Attempt::TooOld => RunOutcome::Refused,
             Attempt::Impossible | Attempt::Failed | Attempt::VersionChanged | Attempt::Moved => {
@@ -571,17 +578,17 @@
             Attempt::Broken(_) => RunOutcome::Failed,
         };
         let mut state = self.lock();
-        state.placement.finish(ended, key, ending);
-        if let Some(at) = state.job_at(key) {
-            let silent = matches!(attempt, Attempt::Broken("silent" | "head-late"));
+        state.placement.finish(ended, key, run_outcome);
+        if let Some(at) = state.job_index(key) {
+            let timed_out = matches!(attempt, Attempt::Broken("silent" | "head-late"));
             let job = &mut state.jobs[at];
             job.running = false;
-            job.silences = match (silent, reached.made) {
-                (true, 0) => job.silences + 1,
-                (true, _) => job.silences.max(1),
+            job.timeouts_in_row = match (timed_out, reached.events_of_run) {
+                (true, 0) => job.timeouts_in_row + 1,
+                (true, _) => job.timeouts_in_row.max(1),
                 (false, _) => 0,
             };
-            self.settle(&mut state, key, at, attempt);
+            self.handle_attempt(&mut state, key, at, attempt);
         }
         drop(state);
         self.inner.wake.notify_one();
@@ -590,26 +597,26 @@
     /// Expected remaining time of a sample that was told to leave a slow engine, in milliseconds:
     /// on that engine, and on another one. `None` if it was not moved for speed, or if no
     /// estimate is known.
-    fn rest_ms(&self, key: SampleKey) -> Option<(u64, u64)> {
+    fn remaining_ms(&self, key: SampleKey) -> Option<(u64, u64)> {
         let state = self.lock();
-        let job = &state.jobs[state.job_at(key)?];
-        let MoveReason::Slow(rest) = job.moved? else {
+        let job = &state.jobs[state.job_index(key)?];
+        let MoveReason::Slow(remaining) = job.move_reason? else {
             return None;
         };
-        let rest = rest?;
+        let remaining = remaining?;
         let ms = |seconds: f64| (seconds * 1e3) as u64;
-        Some((ms(rest.current_engine_s), ms(rest.other_engine_s)))
+        Some((ms(remaining.current_engine_s), ms(remaining.other_engine_s)))
     }
 
-    /// Lists the item, or lets it wait for another engine.
-    fn settle(&self, state: &mut State, key: SampleKey, at: usize, attempt: Attempt) {
+    /// Continues or abandons a sample according to how its run ended.
+    fn handle_attempt(&self, state: &mut State, key: SampleKey, at: usize, attempt: Attempt) {
         match attempt {
             Attempt::Whole => {
                 let job = &mut state.jobs[at];
                 job.progress.complete = true;
-                job.drafted = Some(self.shared.clock.now());
-                note_length(&mut state.lengths, job);
-                self.go_on(state, key);
+                job.text_completed_at = Some(self.shared.clock.now());
+                record_length(&mut state.lengths, job);
+                self.continue_sample(state, key);
             }
             Attempt::Impossible => self.abandon(state, key, "impossible"),
             Attempt::Failed => {
@@ -618,34 +625,34 @@
                 let head = &job.submission.head;
                 let config = self.shared.fleet.config();
                 let route = config.route(&head.host, &head.path);
-                let most = route.map_or(u32::MAX, |route| route.max_attempts.max(1));
-                if job.progress.failures >= most {
+                let max_attempts = route.map_or(u32::MAX, |route| route.max_attempts.max(1));
+                if job.progress.failures >= max_attempts {
                     self.abandon(state, key, "failed");
                 } else {
-                    self.offer(state, key);
+                    self.enqueue(state, key);
                 }
             }
             Attempt::VersionChanged => {
                 self.count_discarded(state, &state.jobs[at]);
                 state.jobs[at].progress.restart();
-                self.offer(state, key);
+                self.enqueue(state, key);
             }
             Attempt::NotRun | Attempt::TooOld | Attempt::Broken(_) | Attempt::Moved => {
-                self.offer(state, key);
+                self.enqueue(state, key);
             }
         }
     }
 
-    /// Lists an item whose text is whole, and scored if that is wanted.
-    fn complete(&self, state: &mut State, at: usize) {
+    /// Adds the result of an item whose text is complete and has its score if it asks for one.
+    fn record_result(&self, state: &mut State, at: usize) {
         let job = state.jobs.remove(at);
-        let item = &job.submission.items[job.place];
-        let result = completed(item, &job.progress);
+        let item = &job.submission.items[job.item_index];
+        let result = completed_result(item, &job.progress);
         let now = self.shared.clock.now();
-        let since_offer = |at: Instant| at.duration_since(job.offered).as_millis();
-        let waited_ms = job.first_start.map(since_offer);
-        let drafted_ms = job.drafted.map(since_offer);
-        let took = now.duration_since(job.offered);
+        let since_added = |at: Instant| at.duration_since(job.added_at).as_millis();
+        let waited_ms = job.first_started_at.map(since_added);
+        let drafted_ms = job.text_completed_at.map(since_added);
+        let took = now.duration_since(job.added_at);
         self.shared.journal.time("item.completed", took);
         let (events, took_ms) = (job.progress.events.len(), took.as_millis());
         let (waited_ms, drafted_ms) = (
@@ -656,7 +663,7 @@
             ("submission", &job.submission.id),
             ("item", &item.id),
             ("events", &events),
-            ("tries", &job.tries),
+            ("tries", &job.runs),
             ("waited_ms", &waited_ms),
             ("drafted_ms", &drafted_ms),
             ("took_ms", &took_ms),
@@ -666,32 +673,32 @@
         }
         self.shared.journal.event("item_completed", &fields);
         job.submission.add_result(now, result);
-        state.kept.insert(&item.id, job.progress);
+        state.texts.insert(&item.id, job.progress);
     }
 
-    /// Takes in the next event of a run.
-    fn take_event(&self, key: SampleKey, event: StreamEvent, version: u64) {
+    /// Records the next event of a run.
+    fn record_event(&self, key: SampleKey, event: StreamEvent, version: u64) {
         let now = self.shared.clock.now();
         let mut state = self.lock();
         state.placement.record_event(now, key);
-        // No job: the submission has ended meanwhile.
-        if let Some(at) = state.job_at(key) {
+        // Without a job, the submission has ended meanwhile.
+        if let Some(at) = state.job_index(key) {
             state.jobs[at].progress.add_event(event, version);
         }
     }
 
     /// Passes the load that an engine reported to the placement.
-    fn take_load(&self, engine: &Instance, load: ReportedLoad) {
+    fn record_load(&self, engine: &Instance, load: ReportedLoad) {
         let Some(load) = self.shared.usable_load(Some(load)) else {
             return;
         };
         let now = self.shared.clock.now();
         let mut state = self.lock();
-        let key = state.key_of(engine);
+        let key = state.engine_key(engine);
         state.placement.record_load(now, key, load);
     }
 
-    /// Texts of a submission's unfinished samples behind what was saved of them before;
+    /// Unsaved text of a submission's unfinished samples: the events after those saved before.
     /// `saved` is sorted by item.
     #[must_use]
     pub fn unsaved_texts(&self, submission: &str, saved: &[SavedText]) -> Vec<TextPiece> {
@@ -699,15 +706,15 @@
         let jobs = state.jobs.iter();
         let of_submission = jobs.filter(|job| job.submission.id == submission);
         let pieces = of_submission.filter_map(|job| {
-            let item = &job.submission.items[job.place].id;
-            let known = saved.binary_search_by(|held| held.item.cmp(item));
-            let known = known.ok().map(|at| &saved[at]);
-            let after = known.map_or(0, |saved| saved.events);
+            let item = &job.submission.items[job.item_index].id;
+            let saved_before = saved.binary_search_by(|held| held.item.cmp(item));
+            let saved_before = saved_before.ok().map(|at| &saved[at]);
+            let after = saved_before.map_or(0, |saved| saved.events);
             let complete = job.progress.complete;
             let (events, versions) = (&job.progress.events, &job.progress.versions);
-            let longer = events.len() >= WORTH_SAVING.max(after + 1);
-            let is_new = longer || (complete && known.is_none_or(|saved| !saved.complete));
-            // A text that began anew does not follow from what was saved of it.
+            let longer = events.len() >= MIN_SAVED_EVENTS.max(after + 1);
+            let is_new = longer || (complete && saved_before.is_none_or(|saved| !saved.complete));
+            // A restarted text does not continue the saved one.
             (is_new && !job.progress.restarted).then(|| TextPiece {
                 item: item.clone(),
                 after,
@@ -719,7 +726,7 @@
         pieces.collect()
     }
 
-    /// A panic in a decision leaves the others usable.
+    /// Ignores poisoning: a panic in one decision must not stop all others.
     fn lock(&self) -> MutexGuard<'_, State> {
         let state = self.inner.state.lock();
         state.unwrap_or_else(PoisonError::into_inner)
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -39,23 +39,23 @@
     })
 }
 
-/// Records the length hints of a step that arrived.
-pub(crate) fn note_step(state: &mut State, submission: &LocalSubmission) {
+/// Records the length hints of a new step.
+pub(crate) fn record_step(state: &mut State, submission: &LocalSubmission) {
     let hints = submission.items.iter().map(|item| item.expected_tokens);
     state.lengths.record_step(hints);
-    state.ordered_after = None;
+    state.next_reorder = None;
 }
 
 /// Records the length of a sample whose text is complete.
-pub(crate) fn note_length(lengths: &mut LengthEstimator, job: &Job) {
-    let expected_tokens = job.submission.items[job.place].expected_tokens;
+pub(crate) fn record_length(lengths: &mut LengthEstimator, job: &Job) {
+    let expected_tokens = job.submission.items[job.item_index].expected_tokens;
     lengths.record_ended(expected_tokens, job.progress.events.len() as u32);
 }
 
 fn open_sample(job: &Job) -> OpenSample {
     OpenSample {
         group: job.group,
-        expected_tokens: job.submission.items[job.place].expected_tokens,
+        expected_tokens: job.submission.items[job.item_index].expected_tokens,
         events_done: job.progress.events.len() as u32,
         is_text_complete: job.progress.complete,
     }
@@ -63,43 +63,43 @@
 
 impl Drafting {
     /// Enables or disables the order by slack according to the current engines.
-    pub(crate) fn update_slack_order(&self, state: &mut State, seen: &FleetSeen) {
+    pub(crate) fn update_slack_order(&self, state: &mut State, snapshot: &FleetSeen) {
         let is_on = self.shared.off.leaves(Mechanism::StepSlack);
-        let by_slack = is_on && serves_several_models(&seen.config, &seen.upstreams);
-        if state.by_slack == by_slack {
+        let by_slack = is_on && serves_several_models(&snapshot.config, &snapshot.upstreams);
+        if state.is_by_slack == by_slack {
             return;
         }
-        state.by_slack = by_slack;
-        state.ordered_after = None;
+        state.is_by_slack = by_slack;
+        state.next_reorder = None;
         if by_slack {
             return;
         }
         for job in &mut state.jobs {
-            job.by_slack = None;
+            job.slack_rank = None;
         }
         rank_waiting(state);
     }
 
     /// Reorders the waiting samples, at most once per [`LOOK_EVERY`].
     pub(crate) fn order_waiting(&self, state: &mut State, now: Instant) {
-        let is_early = state.ordered_after.is_some_and(|after| now < after);
-        if !state.by_slack || is_early || state.placement.waiting() == 0 {
+        let is_early = state.next_reorder.is_some_and(|after| now < after);
+        if !state.is_by_slack || is_early || state.placement.waiting() == 0 {
             return;
         }
-        state.ordered_after = Some(now + LOOK_EVERY);
+        state.next_reorder = Some(now + LOOK_EVERY);
         let event = state.placement.median_event_time();
         let State { jobs, lengths, .. } = state;
         // Jobs of one step are adjacent.
         for step in jobs.chunk_by_mut(|a, b| Arc::ptr_eq(&a.submission, &b.submission)) {
-            let places = self.places_of(step, lengths, event, now);
-            for (job, place) in step.iter_mut().zip(places) {
-                job.by_slack = Some(place);
+            let ranks = self.slack_ranks(step, lengths, event, now);
+            for (job, rank) in step.iter_mut().zip(ranks) {
+                job.slack_rank = Some(rank);
             }
         }
         rank_waiting(state);
     }
 
-    fn places_of(
+    fn slack_ranks(
         &self,
         step: &[Job],
         lengths: &LengthEstimator,
@@ -123,7 +123,7 @@
         rank_by_slack(&step, lengths, event)
     }
 
-    /// Time from the accept of a step until it is due, and its current age.
+    /// Time from when a step was accepted until it is due, and its current age.
     fn due_and_age(&self, submission: &LocalSubmission, now: Instant) -> (Duration, Duration) {
         let due = self.due_of(&submission.head);
         let due_at = submission.due_at(&self.shared.fleet.config());
@@ -132,18 +132,19 @@
     }
 
     /// Records the slack of a sample that is started for the first time.
-    pub(crate) fn note_first_slack(&self, job: &mut Job, now: Instant) {
-        let is_first = job.first_start == Some(now) && job.tries == 1;
-        if let Some(place) = job.by_slack.filter(|_| is_first) {
+    pub(crate) fn record_first_slack(&self, job: &mut Job, now: Instant) {
+        let is_first = job.first_started_at == Some(now) && job.runs == 1;
+        if let Some(rank) = job.slack_rank.filter(|_| is_first) {
             let (due, age) = self.due_and_age(&job.submission, now);
-            job.first_slack_ms = Some(slack_ms(due, age, place.remaining));
+            job.first_slack_ms = Some(slack_ms(due, age, rank.remaining));
         }
     }
 
-    /// Counts the events of a sample that ends without a result or restarts.
+    /// Counts the events of a sample that ends without a result or restarts, where samples are
+    /// ordered by slack.
     pub(crate) fn count_discarded(&self, state: &State, job: &Job) {
         let events = job.progress.events.len() as u64;
-        if state.by_slack && events > 0 {
+        if state.is_by_slack && events > 0 {
             let journal = &self.shared.journal;
             journal.count_many("draft.events_discarded", events);
         }
@@ -155,6 +156,6 @@
     let jobs = &state.jobs;
     state.placement.rank_waiting(|key| {
         let at = jobs.binary_search_by_key(&key, |job| job.key).ok()?;
-        Some(jobs[at].order())
+        Some(jobs[at].current_rank())
     });
 }
