--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -36,8 +36,8 @@
 use crate::drafting::Drafting;
 use crate::duty::BootClock;
 use crate::fleet::Fleet;
-use crate::holder::HOLDER_PATH;
-use crate::holder::Holder;
+use crate::holder::DUTY_HOLDER_PATH;
+use crate::holder::DutyHolder;
 use crate::live::Live;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
@@ -104,7 +104,7 @@
     pub(crate) drafting: Drafting,
     pub(crate) homes: Homes,
     pub(crate) home_finder: HomeFinder,
-    pub(crate) holder: Holder,
+    pub(crate) holder: DutyHolder,
     pub(crate) counting: Counting,
     pub(crate) relay: Arc<Relay>,
     pub(crate) connections: ConnectionPool,
@@ -212,8 +212,8 @@
         if head.uri.path() == PING_PATH {
             return empty(StatusCode::OK);
         }
-        if head.uri.path() == HOLDER_PATH {
-            return json(StatusCode::OK, &self.holder.answer().await);
+        if head.uri.path() == DUTY_HOLDER_PATH {
+            return json(StatusCode::OK, &self.holder.confirm_or_resign().await);
         }
         if head.uri.path() == USAGE_PATH {
             return self.usage(&head, body).await;
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -52,7 +52,7 @@
 const DUTY: &str = "weights";
 
 /// Path at which a node tells other nodes whether it can act.
-pub const HOLDER_PATH: &str = "/peer/weights-holder";
+pub const DUTY_HOLDER_PATH: &str = "/peer/weights-holder";
 
 /// Part of [`VERIFIED_FOR`] after which the holder reads again before it acts: the rest
 /// is for what it has to ask first, which takes some milliseconds.
@@ -70,11 +70,11 @@
 
 /// The duty while this node holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Held {
+pub(crate) struct HeldDuty {
     /// The epoch under which it acts.
     pub(crate) epoch: u64,
     /// No act before this time.
-    pub(crate) from: Instant,
+    pub(crate) acts_from: Instant,
     /// When the last read that showed the duty was sent.
     verified: Duration,
 }
@@ -89,7 +89,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// The duty, if this node holds it.
-    held: Option<Held>,
+    held: Option<HeldDuty>,
     /// When the last act was begun at the latest, on the clock that counts suspended time.
     last_act: Option<Duration>,
     /// Who holds it, as the list of duties shows.
@@ -100,9 +100,9 @@
 
 /// What the duty is held with.
 #[derive(Debug, Clone)]
-pub struct HolderParts {
+pub struct DutyHolderParts {
     /// This node.
-    pub me: NodeRef,
+    pub this_node: NodeRef,
     /// Settings, with the lease of whoever is ordered.
     pub settings: InForce,
     /// The platform's store.
@@ -121,15 +121,15 @@
 
 /// The duty as this node has part in it; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Holder {
-    parts: Arc<HolderParts>,
+pub struct DutyHolder {
+    parts: Arc<DutyHolderParts>,
     state: Arc<Mutex<State>>,
 }
 
-impl Holder {
+impl DutyHolder {
     /// This node holds nothing yet.
     #[must_use]
-    pub fn new(parts: HolderParts) -> Self {
+    pub fn new(parts: DutyHolderParts) -> Self {
         // An earlier process of this VM may have acted until this one started, and a
         // node that takes the duty from here must keep its distance from that.
         let state = State {
@@ -144,23 +144,23 @@
 
     /// Whether this node holds the duty, as far as it knows.
     #[must_use]
-    pub fn is_held(&self) -> bool {
-        self.held().is_some()
+    pub fn holds_duty(&self) -> bool {
+        self.held_duty().is_some()
     }
 
     /// The duty, if this node holds it as far as it knows.
-    pub(crate) fn held(&self) -> Option<Held> {
+    pub(crate) fn held_duty(&self) -> Option<HeldDuty> {
         self.lock().held
     }
 
     /// Name of this node, under which it acts.
     #[must_use]
     pub fn name(&self) -> &str {
-        &self.parts.me.node
+        &self.parts.this_node.node
     }
 
     /// Takes in duties as the store shows them.
-    pub fn take_change(&self, change: &Change) {
+    pub fn apply_change(&self, change: &Change) {
         let objects = match change {
             Change::All(objects) => objects.as_slice(),
             Change::Put(object) => std::slice::from_ref(object),
@@ -190,20 +190,20 @@
     pub fn address(&self) -> Option<SocketAddr> {
         let state = self.lock();
         if state.held.is_some() {
-            return Some(self.parts.me.address);
+            return Some(self.parts.this_node.address);
         }
         state.heard.map(|heard| heard.address)
     }
 
     /// Notes whether the holder answered a call.
-    pub fn note_answered(&self, answered: bool) {
+    pub fn record_call(&self, answered: bool) {
         let mut state = self.lock();
         state.silent_calls = if answered { 0 } else { state.silent_calls + 1 };
     }
 
     /// The holder has left so many calls unanswered; it is asked once for them.
     #[must_use]
-    pub(crate) fn take_silence(&self, calls: u32) -> bool {
+    pub(crate) fn take_unanswered_calls(&self, calls: u32) -> bool {
         let mut state = self.lock();
         let is_silent = state.silent_calls >= calls;
         if is_silent {
@@ -213,8 +213,8 @@
     }
 
     /// Answers a node that asks for the duty.
-    pub async fn answer(&self) -> HolderAnswer {
-        let held = self.held();
+    pub async fn confirm_or_resign(&self) -> HolderAnswer {
+        let held = self.held_duty();
         if let Some(held) = held
             && within(VERIFY_TIMEOUT, self.verify(held)).await == Some(true)
         {
@@ -237,10 +237,10 @@
     /// this VM's, so that no distance has to be kept from them. Otherwise engines
     /// would get no weights until another node missed the orders and waited for a lease.
     /// An old answer of the store does: the change is made on a condition.
-    pub(crate) async fn take_back(&self) {
+    pub(crate) async fn reclaim(&self) {
         let read = self.parts.store.read_stale(Kind::Duties, DUTY).await;
         match read.map(|object| object.as_ref().map(|object| self.found(object))) {
-            Ok(Some(found)) if found.holder() == Some(&self.parts.me) => {
+            Ok(Some(found)) if found.holder() == Some(&self.parts.this_node) => {
                 self.take(Some(found), Before::Nobody).await;
             }
             Ok(_) => {}
@@ -249,7 +249,7 @@
     }
 
     /// Takes a duty that no one ever held.
-    pub(crate) async fn take_first(&self) {
+    pub(crate) async fn claim_unheld(&self) {
         if let Ok(None) = self.read_duty().await {
             self.take(None, Before::Nobody).await;
         }
@@ -273,8 +273,8 @@
 
     /// The epoch under which this node may act now; read back from the store if need be.
     pub(crate) async fn verified_epoch(&self) -> Option<u64> {
-        let held = self.held()?;
-        if self.parts.clock.now() < held.from {
+        let held = self.held_duty()?;
+        if self.parts.clock.now() < held.acts_from {
             return None;
         }
         let is_verified = self.is_verified(held) || self.verify(held).await;
@@ -282,13 +282,13 @@
     }
 
     /// The last read is fresh enough for what is begun now.
-    fn is_verified(&self, held: Held) -> bool {
+    fn is_verified(&self, held: HeldDuty) -> bool {
         let now = self.parts.boot_clock.since_boot();
         now.saturating_sub(held.verified) <= VERIFIED_FOR.mul_f64(READ_AGAIN_AT)
     }
 
     /// Reads the duty back: whether it is still held under this epoch.
-    async fn verify(&self, held: Held) -> bool {
+    async fn verify(&self, held: HeldDuty) -> bool {
         let sent = self.parts.boot_clock.since_boot();
         let read = self.read_duty().await;
         let mut state = self.lock();
@@ -300,7 +300,7 @@
             Ok(Some(Found {
                 duty: Some(duty), ..
             })) if duty.epoch == held.epoch => {
-                state.held = Some(Held {
+                state.held = Some(HeldDuty {
                     verified: sent,
                     ..held
                 });
@@ -334,7 +334,7 @@
     }
 
     /// Something is due and no one does it: takes the duty unless its holder can.
-    pub(crate) async fn ask_for_duty(&self) {
+    pub(crate) async fn request_takeover(&self) {
         // Without the store nobody can take it.
         if self.parts.outage.is_on() {
             return;
@@ -345,7 +345,7 @@
             Err(error) => return self.event("orders_unread", &[("cause", &error)]),
         };
         let before = match found.holder() {
-            Some(holder) if *holder == self.parts.me => Before::Nobody,
+            Some(holder) if *holder == self.parts.this_node => Before::Nobody,
             Some(holder) => match self.ask(holder.address).await {
                 Ok(HolderAnswer::Able) => return,
                 Ok(HolderAnswer::Resigned { last_order_ms }) => {
@@ -362,7 +362,7 @@
 
     async fn ask(&self, holder: SocketAddr) -> Result<HolderAnswer, CallError> {
         let mut request = Request::new(Full::new(Bytes::new()));
-        *request.uri_mut() = http::Uri::from_static(HOLDER_PATH);
+        *request.uri_mut() = http::Uri::from_static(DUTY_HOLDER_PATH);
         let connections = &self.parts.connections;
         let answer = connections.call(holder, request, PING_TIMEOUT).await?;
         serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
@@ -372,7 +372,7 @@
         let parts = &self.parts;
         let duty = Duty {
             write: parts.store.write_id(),
-            holder: parts.me.clone(),
+            holder: parts.this_node.clone(),
             epoch: known.as_ref().map_or(1, |found| found.epoch() + 1),
         };
         let write = &duty.write;
@@ -401,10 +401,10 @@
                 ("wait_ms", &wait.as_millis()),
             ],
         );
-        self.lock().held = Some(Held {
+        self.lock().held = Some(HeldDuty {
             epoch: duty.epoch,
             // From now, when the change is known to have been made.
-            from: parts.clock.now() + wait,
+            acts_from: parts.clock.now() + wait,
             // Nothing was read back yet.
             verified: Duration::ZERO,
         });
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -40,8 +40,8 @@
 use crate::follow::SeedsNow;
 use crate::follow::Sources;
 use crate::follow::follow;
-use crate::holder::Holder;
-use crate::holder::HolderParts;
+use crate::holder::DutyHolder;
+use crate::holder::DutyHolderParts;
 use crate::live::Live;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
@@ -400,8 +400,8 @@
         boot_clock: Arc::clone(&base.sources.boot_clock),
         journal: journal.clone(),
     });
-    let holder = Holder::new(HolderParts {
-        me: me.clone(),
+    let holder = DutyHolder::new(DutyHolderParts {
+        this_node: me.clone(),
         settings: base.in_force.clone(),
         store: base.store.clone(),
         outage: base.sources.outage.clone(),
@@ -541,7 +541,7 @@
     let fleet = Arc::clone(&node.fleet);
     let holder = node.holder.clone();
     let how = move || Following {
-        freshness: if holder.is_held() {
+        freshness: if holder.holds_duty() {
             Freshness::Newest
         } else {
             Freshness::Seconds
@@ -557,7 +557,7 @@
     let how = Following::seconds_late;
     base.follow(Kind::Duties, how, move |news| {
         for change in news.changes {
-            holder.take_change(&change);
+            holder.apply_change(&change);
             homes.apply(change);
         }
     });
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -24,7 +24,7 @@
 use crate::dialect::StoreError;
 use crate::fleet::Fleet;
 use crate::follow::list;
-use crate::holder::Holder;
+use crate::holder::DutyHolder;
 use crate::model::ScalingLimits;
 use crate::model::Service;
 use crate::model::Upstream;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct ScalerParts {
     /// The duty of ordering.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// Known upstreams and demand.
     pub fleet: Arc<Fleet>,
     /// The platform's store.
@@ -113,7 +113,7 @@
         loop {
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
-            let held = self.parts.holder.held();
+            let held = self.parts.holder.held_duty();
             let (Some(scaling), Some(held)) = (settings.scaling(), held) else {
                 progress = None;
                 pause = IDLE_LOOK_EVERY;
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -23,7 +23,7 @@
 use crate::connection_pool::CallError;
 use crate::connection_pool::ConnectionPool;
 use crate::duty::BootClock;
-use crate::holder::Holder;
+use crate::holder::DutyHolder;
 use crate::reload::InForce;
 use crate::usage::collect::Collected;
 use crate::usage::collect::Told;
@@ -191,7 +191,7 @@
     }
 
     /// Tells the holder and a seed what this node counts, for as long as the process lives.
-    pub async fn run(self, holder: Holder) {
+    pub async fn run(self, holder: DutyHolder) {
         loop {
             if self.inner.settings.now().usage.is_none() {
                 tokio::time::sleep(TELL_TIME).await;
@@ -220,7 +220,7 @@
     }
 
     /// Tells the holder, if one is known.
-    async fn tell(&self, duty: &Holder) -> Result<(), CallError> {
+    async fn tell(&self, duty: &DutyHolder) -> Result<(), CallError> {
         let (told, is_new) = {
             let mut state = self.lock();
             let is_new = std::mem::take(&mut state.is_new);
@@ -235,7 +235,7 @@
                 drop(counting.tell_to(copy_at, &told).await);
             }));
         }
-        if duty.is_held() {
+        if duty.holds_duty() {
             self.take(told);
             self.take_own_median();
             return Ok(());
@@ -244,7 +244,7 @@
             return Ok(());
         };
         let heard = self.tell_to(holder, &told).await;
-        duty.note_answered(heard.is_ok());
+        duty.record_call(heard.is_ok());
         self.hear(&heard?);
         Ok(())
     }
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -23,7 +23,7 @@
 use crate::dialect::StoreError;
 use crate::dialect::UsageReport;
 use crate::follow::list;
-use crate::holder::Holder;
+use crate::holder::DutyHolder;
 use crate::reload::InForce;
 use crate::settings::UsageSettings;
 use crate::store::Created;
@@ -75,7 +75,7 @@
     /// What all nodes count.
     pub counting: Counting,
     /// The duty of reporting.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// The platform's store.
     pub store: Store,
     /// Connections to the platform.
@@ -127,7 +127,7 @@
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
             let usage = settings.usage.as_ref();
-            let Some(usage) = usage.filter(|_| self.parts.holder.is_held()) else {
+            let Some(usage) = usage.filter(|_| self.parts.holder.holds_duty()) else {
                 progress = None;
                 pause = IDLE_LOOK_EVERY;
                 continue;
--- a/crates/node/src/vitals.rs
+++ b/crates/node/src/vitals.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::Fleet;
 use crate::follow::Seeds;
-use crate::holder::Holder;
+use crate::holder::DutyHolder;
 use crate::submission::homes::Homes;
 use crate::submission::records::NodeRef;
 
@@ -36,7 +36,7 @@
     /// Whose home it is.
     pub homes: Homes,
     /// Whether it gives orders.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// What it knows.
     pub fleet: Arc<Fleet>,
     /// Events.
@@ -68,7 +68,7 @@
             &[
                 ("homes", &own.count()),
                 ("seed", &self.seeds.now().is_seed),
-                ("orders", &self.holder.is_held()),
+                ("orders", &self.holder.holds_duty()),
                 ("upstreams", &self.fleet.upstreams().len()),
                 // Zero where the system does not tell.
                 ("peak_memory_mb", &memory_mb.unwrap_or_default()),
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -29,7 +29,7 @@
 use crate::engines::Engines;
 use crate::engines::rollout_engines;
 use crate::fleet::Fleet;
-use crate::holder::Holder;
+use crate::holder::DutyHolder;
 use crate::interest::Interest;
 use crate::mechanisms::Mechanism;
 use crate::mechanisms::Off;
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 pub struct WeightsParts {
     /// The duty of giving orders.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// What is known of engines and versions.
     pub fleet: Arc<Fleet>,
     /// What this node wants to know of upstreams.
@@ -168,12 +168,12 @@
     pub async fn run(self) {
         let spread = rand::rng().random_range(0.0..1.0);
         let holder = &self.shared.parts.holder;
-        holder.take_back().await;
+        holder.reclaim().await;
         tokio::time::sleep(PATIENCE.mul_f64(spread)).await;
         // Whoever comes first takes a duty that no one ever held. Nodes that follow seeds
         // leave it to these: each read costs, and hundreds may start at once.
         if self.shared.parts.interest.wants_all() {
-            holder.take_first().await;
+            holder.claim_unheld().await;
         }
         let patience = PATIENCE.mul_f64(1.0 + spread);
         let mut pause = LOOK_EVERY;
@@ -189,7 +189,7 @@
     /// Gives the orders that are due, or asks for their holder.
     async fn look(&self, patience: Duration) -> Look {
         let parts = &self.shared.parts;
-        let held = parts.holder.held();
+        let held = parts.holder.held_duty();
         let holds = held.is_some();
         parts.interest.take_orders(holds);
         // Others see the engines' versions late or not at all. Seeds and nodes that draft
@@ -202,8 +202,8 @@
         } else {
             SILENT_CALLS_MOST
         };
-        if !holds && parts.holder.take_silence(silent_calls) {
-            parts.holder.ask_for_duty().await;
+        if !holds && parts.holder.take_unanswered_calls(silent_calls) {
+            parts.holder.request_takeover().await;
         }
         if !holds && !sees_engines {
             return Look::Idle;
@@ -223,7 +223,7 @@
                     self.order_all(epoch, due);
                 }
             }
-            None if stuck => parts.holder.ask_for_duty().await,
+            None if stuck => parts.holder.request_takeover().await,
             Some(_) | None => {}
         }
         Look::Took(now.duration_since(began))
