--- a/crates/node/src/duty.rs
+++ b/crates/node/src/duty.rs
@@ -12,10 +12,10 @@
 
 /// Orders are given within this time of sending the read that showed the duty: long
 /// enough for a slow answer of the store, short beside the engines' lease.
-pub const VERIFIED_FOR: Duration = Duration::from_millis(900);
+pub const VERIFICATION_TTL: Duration = Duration::from_millis(900);
 
 /// Added to what a new holder waits: timers fire late, and packets take time.
-const TAKE_OVER_MARGIN: Duration = Duration::from_millis(400);
+const TAKEOVER_MARGIN: Duration = Duration::from_millis(400);
 
 /// Time since the system started, a suspended VM's time included.
 pub trait BootClock: Send + Sync + std::fmt::Debug {
@@ -47,14 +47,14 @@
 
 /// The duty as it was read.
 #[derive(Debug)]
-pub(crate) struct Found {
+pub(crate) struct StoredDuty {
     /// Revision of its object.
     pub(crate) revision: u64,
     /// `None` if another writer has made it unreadable.
     pub(crate) duty: Option<Duty>,
 }
 
-impl Found {
+impl StoredDuty {
     pub(crate) fn holder(&self) -> Option<&NodeRef> {
         self.duty.as_ref().map(|duty| &duty.holder)
     }
@@ -82,7 +82,7 @@
 
 /// What is known of the holder before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Before {
+pub enum PreviousHolder {
     /// No one held the duty, or an earlier process of this VM, which is gone.
     Nobody,
     /// It resigned; its last order is this old.
@@ -95,11 +95,11 @@
 
 /// How long a node waits before its first order after it has taken the duty.
 #[must_use]
-pub fn wait_after(before: Before, lease: Duration) -> Duration {
-    match before {
-        Before::Nobody | Before::Resigned(None) => Duration::ZERO,
-        Before::Resigned(Some(age)) => (lease + TAKE_OVER_MARGIN).saturating_sub(age),
-        Before::Gone => lease + TAKE_OVER_MARGIN,
-        Before::Unreached => VERIFIED_FOR + lease + TAKE_OVER_MARGIN,
+pub fn takeover_delay(previous: PreviousHolder, lease: Duration) -> Duration {
+    match previous {
+        PreviousHolder::Nobody | PreviousHolder::Resigned(None) => Duration::ZERO,
+        PreviousHolder::Resigned(Some(age)) => (lease + TAKEOVER_MARGIN).saturating_sub(age),
+        PreviousHolder::Gone => lease + TAKEOVER_MARGIN,
+        PreviousHolder::Unreached => VERIFICATION_TTL + lease + TAKEOVER_MARGIN,
     }
 }
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -3,7 +3,7 @@
 //!
 //! Whoever hears an order may carry it out, so two nodes must never act in turns. The
 //! duty's object names its holder and an epoch. The holder reads it back right before it
-//! acts, and acts only within [`VERIFIED_FOR`] of sending that read, on a clock that
+//! acts, and acts only within [`VERIFICATION_TTL`] of sending that read, on a clock that
 //! counts a suspended VM's time. A node that takes the duty over waits that long and the
 //! lease on top. So the last act of the old holder is always at least a lease older
 //! than the first of the new one, without any renewal.
@@ -35,13 +35,13 @@
 use crate::dialect::Kind;
 use crate::dialect::Object;
 use crate::dialect::StoreError;
-use crate::duty::Before;
 use crate::duty::BootClock;
 use crate::duty::Duty;
-use crate::duty::Found;
 use crate::duty::HolderAnswer;
-use crate::duty::VERIFIED_FOR;
-use crate::duty::wait_after;
+use crate::duty::PreviousHolder;
+use crate::duty::StoredDuty;
+use crate::duty::VERIFICATION_TTL;
+use crate::duty::takeover_delay;
 use crate::outage::Outage;
 use crate::reload::InForce;
 use crate::store::Created;
@@ -54,7 +54,7 @@
 /// Path at which a node tells other nodes whether it can act.
 pub const DUTY_HOLDER_PATH: &str = "/peer/weights-holder";
 
-/// Part of [`VERIFIED_FOR`] after which the holder reads again before it acts: the rest
+/// Part of [`VERIFICATION_TTL`] after which the holder reads again before it acts: the rest
 /// is for what it has to ask first, which takes some milliseconds.
 const READ_AGAIN_AT: f64 = 0.75;
 
@@ -241,7 +241,7 @@
         let read = self.parts.store.read_stale(Kind::Duties, DUTY).await;
         match read.map(|object| object.as_ref().map(|object| self.found(object))) {
             Ok(Some(found)) if found.holder() == Some(&self.parts.this_node) => {
-                self.take(Some(found), Before::Nobody).await;
+                self.take(Some(found), PreviousHolder::Nobody).await;
             }
             Ok(_) => {}
             Err(error) => self.event("orders_unread", &[("cause", &error)]),
@@ -251,21 +251,21 @@
     /// Takes a duty that no one ever held.
     pub(crate) async fn claim_unheld(&self) {
         if let Ok(None) = self.read_duty().await {
-            self.take(None, Before::Nobody).await;
+            self.take(None, PreviousHolder::Nobody).await;
         }
     }
 
-    async fn read_duty(&self) -> Result<Option<Found>, StoreError> {
+    async fn read_duty(&self) -> Result<Option<StoredDuty>, StoreError> {
         let object = self.parts.store.read(Kind::Duties, DUTY).await?;
         Ok(object.as_ref().map(|object| self.found(object)))
     }
 
-    fn found(&self, object: &Object) -> Found {
+    fn found(&self, object: &Object) -> StoredDuty {
         let duty = serde_json::from_str(object.value.get());
         if let Err(error) = &duty {
             self.event("duty_unreadable", &[("cause", error)]);
         }
-        Found {
+        StoredDuty {
             revision: object.revision,
             duty: duty.ok(),
         }
@@ -284,7 +284,7 @@
     /// The last read is fresh enough for what is begun now.
     fn is_verified(&self, held: HeldDuty) -> bool {
         let now = self.parts.boot_clock.since_boot();
-        now.saturating_sub(held.verified) <= VERIFIED_FOR.mul_f64(READ_AGAIN_AT)
+        now.saturating_sub(held.verified) <= VERIFICATION_TTL.mul_f64(READ_AGAIN_AT)
     }
 
     /// Reads the duty back: whether it is still held under this epoch.
@@ -297,7 +297,7 @@
             return false;
         }
         match read {
-            Ok(Some(Found {
+            Ok(Some(StoredDuty {
                 duty: Some(duty), ..
             })) if duty.epoch == held.epoch => {
                 state.held = Some(HeldDuty {
@@ -326,7 +326,7 @@
         let now = self.parts.boot_clock.since_boot();
         let mut state = self.lock();
         let held = state.held.filter(|held| held.epoch == epoch);
-        let fresh = held.is_some_and(|held| now.saturating_sub(held.verified) <= VERIFIED_FOR);
+        let fresh = held.is_some_and(|held| now.saturating_sub(held.verified) <= VERIFICATION_TTL);
         if fresh {
             state.last_act = Some(now);
         }
@@ -341,23 +341,23 @@
         }
         let found = match self.read_duty().await {
             Ok(Some(found)) => found,
-            Ok(None) => return self.take(None, Before::Nobody).await,
+            Ok(None) => return self.take(None, PreviousHolder::Nobody).await,
             Err(error) => return self.event("orders_unread", &[("cause", &error)]),
         };
-        let before = match found.holder() {
-            Some(holder) if *holder == self.parts.this_node => Before::Nobody,
+        let previous = match found.holder() {
+            Some(holder) if *holder == self.parts.this_node => PreviousHolder::Nobody,
             Some(holder) => match self.ask(holder.address).await {
                 Ok(HolderAnswer::Able) => return,
                 Ok(HolderAnswer::Resigned { last_order_ms }) => {
-                    Before::Resigned(last_order_ms.map(Duration::from_millis))
+                    PreviousHolder::Resigned(last_order_ms.map(Duration::from_millis))
                 }
-                Err(CallError::Refused) => Before::Gone,
-                Err(_) => Before::Unreached,
+                Err(CallError::Refused) => PreviousHolder::Gone,
+                Err(_) => PreviousHolder::Unreached,
             },
             // Whoever held it before another writer spoilt it may act a while longer.
-            None => Before::Unreached,
+            None => PreviousHolder::Unreached,
         };
-        self.take(Some(found), before).await;
+        self.take(Some(found), previous).await;
     }
 
     async fn ask(&self, holder: SocketAddr) -> Result<HolderAnswer, CallError> {
@@ -368,7 +368,7 @@
         serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 
-    async fn take(&self, known: Option<Found>, before: Before) {
+    async fn take(&self, known: Option<StoredDuty>, previous: PreviousHolder) {
         let parts = &self.parts;
         let duty = Duty {
             write: parts.store.write_id(),
@@ -392,12 +392,12 @@
         if !taken {
             return;
         }
-        let wait = wait_after(before, parts.settings.now().lease());
+        let wait = takeover_delay(previous, parts.settings.now().lease());
         self.event(
             "orders_taken",
             &[
                 ("epoch", &duty.epoch),
-                ("before", &format_args!("{before:?}")),
+                ("before", &format_args!("{previous:?}")),
                 ("wait_ms", &wait.as_millis()),
             ],
         );
