--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -44,7 +44,7 @@
 use crate::model::Route;
 use crate::model::RouteKind;
 use crate::model::Upstream;
-use crate::progress::Progress;
+use crate::progress::CallProgress;
 use crate::respond::Outcome;
 use crate::respond::reason_of;
 use crate::respond::refusal;
@@ -110,7 +110,7 @@
     deadline: Instant,
     /// Service chosen from the targets of its route.
     service: &'a str,
-    progress: Progress,
+    progress: CallProgress,
 }
 
 impl Live {
@@ -169,7 +169,7 @@
         let service = pick_target(route, &routed.request_id);
         let call = Call {
             service,
-            progress: Progress::of(&self.shared, service, account, route),
+            progress: CallProgress::for_call(&self.shared, service, account, route),
             route,
             routed,
             account,
@@ -212,7 +212,7 @@
         answer
     }
 
-    fn count_shared(&self, progress: &Progress, reason: &str) {
+    fn count_shared(&self, progress: &CallProgress, reason: &str) {
         if progress.has_waited() {
             self.shared.journal.count("live.held_for_room");
         }
@@ -238,7 +238,7 @@
             let asked = self.shared.clock.now();
             let admitted = gate.admit(call.ask(asked, prefix, &tries)).await;
             call.progress
-                .note_wait(self.shared.clock.now().duration_since(asked));
+                .record_wait(self.shared.clock.now().duration_since(asked));
             let permit = match admitted {
                 Ok(permit) => permit,
                 Err(turned) if !may_have_run => {
@@ -282,7 +282,7 @@
 
     /// Counts a try that was sent to an upstream, and whether the upstream refused it.
     fn count_try(&self, call: &Call<'_>, outcome: &Try) {
-        call.progress.note_try();
+        call.progress.record_try();
         if call.progress.is_shared && matches!(outcome, Try::NotRun) {
             self.shared.journal.count("live.refused_by_upstream");
         }
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -11,7 +11,7 @@
 
 /// The admission rules that apply to one call, and counters for its log line.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct CallProgress {
     /// Whether it starts only where a shared upstream likely has a free slot.
     pub is_shared: bool,
     /// Its priority, 0 being the highest; `None` if its service does not order calls by priority.
@@ -21,9 +21,9 @@
     tries: AtomicU32,
 }
 
-impl Progress {
+impl CallProgress {
     /// Takes the rules from the configuration in force when the call arrives.
-    pub fn of(shared: &Shared, service: &str, account: Option<&str>, route: &Route) -> Self {
+    pub fn for_call(shared: &Shared, service: &str, account: Option<&str>, route: &Route) -> Self {
         let config = shared.fleet.config();
         let is_shared = shared.off.leaves(Mechanism::SharedService) && config.shares_services();
         let has_priorities =
@@ -37,7 +37,7 @@
     }
 
     /// Adds the time that the call waited before a try or a refusal.
-    pub fn note_wait(&self, waited: Duration) {
+    pub fn record_wait(&self, waited: Duration) {
         let waited_ms = waited.as_millis() as u64;
         self.waited_ms.fetch_add(waited_ms, Relaxed);
     }
@@ -48,7 +48,7 @@
     }
 
     /// Counts a try that was sent to an upstream.
-    pub fn note_try(&self) {
+    pub fn record_try(&self) {
         self.tries.fetch_add(1, Relaxed);
     }
 
