--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -4,7 +4,7 @@
 
 /// A step that has this many times as many samples as were told is worth telling of: each
 /// time costs a write, and engines are counted with a reserve.
-const GROWN: f64 = 1.25;
+const REPORTED_GROWTH: f64 = 1.25;
 
 #[derive(Debug, Clone)]
 struct ModelDemand {
@@ -14,23 +14,23 @@
 
 /// Samples of a step, by model.
 #[derive(Debug, Default)]
-pub struct Demands {
+pub struct ModelDemands {
     /// Sorted by model.
     by_model: ArcSwap<Vec<ModelDemand>>,
 }
 
-impl Demands {
+impl ModelDemands {
     /// Samples of the largest step of a model that was told of.
     #[must_use]
-    pub fn of(&self, model: &str) -> Option<u32> {
+    pub fn samples_of(&self, model: &str) -> Option<u32> {
         let held = self.by_model.load();
         let at = held.binary_search_by(|held| held.model.as_str().cmp(model));
         at.ok().map(|at| held[at].samples)
     }
 
     /// Steps of a model have so many samples, or more.
-    pub fn note(&self, model: &str, samples: u32) {
-        if self.of(model).is_some_and(|held| held >= samples) {
+    pub fn record(&self, model: &str, samples: u32) {
+        if self.samples_of(model).is_some_and(|held| held >= samples) {
             return;
         }
         self.by_model.rcu(|held| {
@@ -51,8 +51,8 @@
 
     /// Whether others should hear that a step has so many samples.
     #[must_use]
-    pub fn has_grown(&self, model: &str, samples: u32) -> bool {
-        self.of(model)
-            .is_none_or(|held| f64::from(samples) >= f64::from(held) * GROWN)
+    pub fn exceeds_recorded(&self, model: &str, samples: u32) -> bool {
+        self.samples_of(model)
+            .is_none_or(|held| f64::from(samples) >= f64::from(held) * REPORTED_GROWTH)
     }
 }
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -117,7 +117,7 @@
             let target = route.and_then(|route| route.targets.first());
             let service = target.and_then(|target| config.service(&target.service));
             let slots = service.map_or(1, |service| service.slots.max(1));
-            let samples = self.shared.fleet.demands().of(&head.model);
+            let samples = self.shared.fleet.demands().samples_of(&head.model);
             let samples = samples.unwrap_or(0).max(head.items);
             let model = DraftedModel {
                 model: hash_of_name(&head.model),
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -12,7 +12,7 @@
 use firweir_policy::weight_loads::VersionLag;
 use firweir_policy::weight_loads::assign_models;
 
-use crate::demand::Demands;
+use crate::demand::ModelDemands;
 use crate::fleet::Fleet;
 use crate::model::ModelVersion;
 use crate::model::RouteKind;
@@ -131,9 +131,9 @@
 }
 
 /// What the models need whose homes have told.
-fn needs_of(models: &[Model], slots: u32, demands: &Demands) -> Vec<EngineNeed> {
+fn needs_of(models: &[Model], slots: u32, demands: &ModelDemands) -> Vec<EngineNeed> {
     let needs = models.iter().enumerate().filter_map(|(at, model)| {
-        let samples = demands.of(&model.name)?;
+        let samples = demands.samples_of(&model.name)?;
         Some(EngineNeed {
             model: ModelKey(at as u32),
             engines: engines_needed(samples, slots),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 use crate::change::Change;
-use crate::demand::Demands;
+use crate::demand::ModelDemands;
 use crate::dialect::BadMessage;
 use crate::dialect::Dialect;
 use crate::dialect::Object;
@@ -81,7 +81,7 @@
     upstreams: ArcSwap<Vec<Arc<Upstream>>>,
     /// Sorted by model.
     named: ArcSwap<Vec<ModelVersion>>,
-    demands: Arc<Demands>,
+    demands: Arc<ModelDemands>,
     /// Number of entries in the full list of upstreams, as reported by the store or a seed.
     listed: AtomicUsize,
     /// This node knows all of them.
@@ -292,7 +292,7 @@
 
     /// Number of samples in the largest step of each model.
     #[must_use]
-    pub const fn demands(&self) -> &Arc<Demands> {
+    pub const fn demands(&self) -> &Arc<ModelDemands> {
         &self.demands
     }
 
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -23,7 +23,7 @@
         is_complete: true,
     };
     for model in models {
-        match fleet.demands().of(model) {
+        match fleet.demands().samples_of(model) {
             Some(samples) => {
                 demand.samples = demand.samples.saturating_add(samples);
                 demand.largest_step = demand.largest_step.max(samples);
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 
 use crate::change::Change;
-use crate::demand::Demands;
+use crate::demand::ModelDemands;
 use crate::dialect::Kind;
 use crate::dialect::Object;
 use crate::roster::Settled;
@@ -49,7 +49,7 @@
 pub struct Homes {
     store: Store,
     journal: Journal,
-    demands: Arc<Demands>,
+    demands: Arc<ModelDemands>,
     /// Sorted by model.
     by_model: Arc<ArcSwap<Vec<Home>>>,
 }
@@ -57,7 +57,7 @@
 impl Homes {
     /// Creates it without known homes.
     #[must_use]
-    pub fn new(store: Store, journal: Journal, demands: Arc<Demands>) -> Self {
+    pub fn new(store: Store, journal: Journal, demands: Arc<ModelDemands>) -> Self {
         Self {
             store,
             journal,
@@ -107,7 +107,7 @@
     /// Whether a step with so many samples exceeds the number that is recorded for its model.
     #[must_use]
     pub fn exceeds_recorded_samples(&self, model: &str, samples: u32) -> bool {
-        self.demands.has_grown(model, samples)
+        self.demands.exceeds_recorded(model, samples)
     }
 
     /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
@@ -117,7 +117,7 @@
         let record = HomeRecord {
             write: self.store.write_id(),
             runner: runner.clone(),
-            samples: self.demands.of(model).max(Some(samples)),
+            samples: self.demands.samples_of(model).max(Some(samples)),
         };
         let homes = self.by_model.load();
         let known = homes.iter().find(|home| home.model == model).cloned();
@@ -134,7 +134,7 @@
         };
         match written {
             Ok(revision) => {
-                self.demands.note(model, samples);
+                self.demands.record(model, samples);
                 self.journal
                     .event("home_settled", &[("model", &model), ("home", &runner.node)]);
                 self.insert_if_newer(&Home {
@@ -156,7 +156,7 @@
         match serde_json::from_str::<HomeRecord>(object.value.get()) {
             Ok(record) => {
                 if let Some(samples) = record.samples {
-                    self.demands.note(model, samples);
+                    self.demands.record(model, samples);
                 }
                 self.insert_if_newer(&Home {
                     model: model.to_owned(),
