--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -69,8 +69,8 @@
 use crate::usage::report::Reporter;
 use crate::usage::report::ReporterParts;
 use crate::vitals::Vitals;
-use crate::weights::Weights;
-use crate::weights::WeightsParts;
+use crate::weights::WeightUpdater;
+use crate::weights::WeightUpdaterParts;
 
 /// Clients are taken until this long before a node that drains ends, which does for an
 /// answer. The balancer stops after two misses, but it goes on with nodes that drain where
@@ -435,7 +435,7 @@
         });
         base.tasks.spawn(scaler.run());
     }
-    let weights = Weights::new(WeightsParts {
+    let weights = WeightUpdater::new(WeightUpdaterParts {
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
         interest: Arc::clone(&base.sources.interest),
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -87,13 +87,13 @@
 
 /// Gives orders; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Weights {
+pub struct WeightUpdater {
     shared: Arc<Shared>,
 }
 
 /// What the orders are given with.
 #[derive(Debug)]
-pub struct WeightsParts {
+pub struct WeightUpdaterParts {
     /// The duty of giving orders.
     pub holder: DutyHolder,
     /// What is known of engines and versions.
@@ -114,7 +114,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    parts: WeightsParts,
+    parts: WeightUpdaterParts,
     state: Mutex<State>,
 }
 
@@ -151,10 +151,10 @@
     keep_running: bool,
 }
 
-impl Weights {
+impl WeightUpdater {
     /// No orders yet.
     #[must_use]
-    pub fn new(parts: WeightsParts) -> Self {
+    pub fn new(parts: WeightUpdaterParts) -> Self {
         let shared = Shared {
             parts,
             state: Mutex::default(),
