--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -67,7 +67,7 @@
 
 /// The engine for one run of one sample.
 #[derive(Debug)]
-pub(crate) struct Assigned {
+pub(crate) struct Assignment {
     pub(crate) upstream: Arc<Upstream>,
     /// Timeout of each event after the first.
     pub(crate) event_timeout: Duration,
@@ -93,7 +93,7 @@
     pub(crate) model_keys: Vec<(String, ModelKey)>,
     pub(crate) next_key: u64,
     /// State of the fleet from which the engines were last updated.
-    pub(crate) applied_fleet: Option<FleetSeen>,
+    pub(crate) applied_fleet: Option<FleetSnapshot>,
     /// The engines are not updated before this time.
     pub(crate) next_engine_update: Option<Instant>,
     /// Waiting samples are not checked for expiry before this time.
@@ -111,13 +111,13 @@
 /// What a node knows of its fleet at one time. Samples end many times a second, so the
 /// engines are only updated if this has changed.
 #[derive(Debug)]
-pub(crate) struct FleetSeen {
+pub(crate) struct FleetSnapshot {
     pub(crate) config: Arc<Config>,
     pub(crate) upstreams: Arc<Vec<Arc<Upstream>>>,
     pub(crate) named: Arc<Vec<ModelVersion>>,
 }
 
-impl FleetSeen {
+impl FleetSnapshot {
     pub(crate) fn of(fleet: &Fleet) -> Self {
         Self {
             config: fleet.config(),
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -50,7 +50,7 @@
 
 /// Progress of a sample's text, earlier runs included.
 #[derive(Debug)]
-pub(crate) struct Reached {
+pub(crate) struct RunProgress {
     /// Number of the last event; 0 for none.
     pub(crate) last_event: u64,
     /// Versions of the weights that generated an event, ascending.
@@ -75,7 +75,7 @@
     pub(crate) event_timeout: Duration,
 }
 
-impl Reached {
+impl RunProgress {
     fn add(&mut self, event: u64, version: u64) {
         self.last_event = event;
         self.events_of_run += 1;
@@ -88,7 +88,7 @@
 impl Run<'_> {
     /// Runs the item to the end of its stream. Waits first for a recent read of the submission's
     /// head, so that no run starts for a submission that has ended.
-    pub(crate) async fn attempt(&mut self, reached: &mut Reached) -> Attempt {
+    pub(crate) async fn attempt(&mut self, progress: &mut RunProgress) -> Attempt {
         let limits = self.shared.settings.now().head_limits();
         let clock = &*self.shared.boot_clock;
         let is_over = || !self.submission.is_running();
@@ -104,7 +104,7 @@
             item: self.item,
             host: &self.submission.head.host,
             upstream: self.upstream,
-            after_event: reached.last_event,
+            after_event: progress.last_event,
             account: self.submission.head.account.as_deref(),
         };
         let request = match self.shared.dialect.draft_request(&request) {
@@ -125,14 +125,14 @@
             Ok(Err(_)) => return Attempt::Broken("no-head"),
             Err(_elapsed) => return Attempt::Broken("head-late"),
         };
-        self.read(exchange, reached).await
+        self.read(exchange, progress).await
     }
 
     fn first_event_timeout(&self) -> Duration {
         self.event_timeout.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
     }
 
-    async fn read(&mut self, exchange: StreamingResponse, reached: &mut Reached) -> Attempt {
+    async fn read(&mut self, exchange: StreamingResponse, progress: &mut RunProgress) -> Attempt {
         let StreamingResponse { answer, connection } = exchange;
         let (head, body) = answer.into_parts();
         let reported = self.shared.dialect.answer_head(&head);
@@ -154,7 +154,7 @@
             StatusCode::INTERNAL_SERVER_ERROR => return Attempt::Failed,
             _ => return Attempt::Broken("status"),
         }
-        let attempt = self.read_events(body, reported.version, reached).await;
+        let attempt = self.read_events(body, reported.version, progress).await;
         if attempt == Attempt::Whole {
             connection.return_to_pool();
         }
@@ -165,7 +165,7 @@
         &mut self,
         mut body: Incoming,
         mut version: Option<u64>,
-        reached: &mut Reached,
+        progress: &mut RunProgress,
     ) -> Attempt {
         let mut buffer = BytesMut::new();
         loop {
@@ -177,7 +177,7 @@
             let frame = match tokio::time::timeout(timeout, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_broken))) => return Attempt::Broken("stream"),
-                Ok(None) if buffer.is_empty() && reached.last_event > 0 => return Attempt::Whole,
+                Ok(None) if buffer.is_empty() && progress.last_event > 0 => return Attempt::Whole,
                 Ok(None) => return Attempt::Broken("cut-event"),
                 Err(_elapsed) => return Attempt::Broken("silent"),
             };
@@ -195,11 +195,11 @@
                 let Some(version) = version else {
                     return Attempt::Broken("no-version");
                 };
-                if let Err(unusable) = self.check(&event, version, reached) {
+                if let Err(unusable) = self.check(&event, version, progress) {
                     return unusable;
                 }
                 self.has_first_event = true;
-                reached.add(event.number, version);
+                progress.add(event.number, version);
                 (self.on_event)(event, version);
             }
             if buffer.len() > MAX_EVENT_BYTES {
@@ -210,8 +210,13 @@
 
     /// Checks that an event is the next one and that the trainer accepts the version of the
     /// weights that generated it.
-    fn check(&self, event: &StreamEvent, version: u64, reached: &Reached) -> Result<(), Attempt> {
-        if event.number != reached.last_event + 1 {
+    fn check(
+        &self,
+        event: &StreamEvent,
+        version: u64,
+        progress: &RunProgress,
+    ) -> Result<(), Attempt> {
+        if event.number != progress.last_event + 1 {
             return Err(Attempt::Broken("event-out-of-order"));
         }
         if version < self.submission.head.min_version {
@@ -221,7 +226,7 @@
         let config = self.shared.fleet.config();
         let route = config.route(&head.host, &head.path);
         let single = route.is_some_and(|route| route.single_version);
-        if single && reached.versions.iter().any(|held| *held != version) {
+        if single && progress.versions.iter().any(|held| *held != version) {
             return Err(Attempt::VersionChanged);
         }
         Ok(())
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -25,8 +25,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dialect::StreamEvent;
-use crate::draft_jobs::Assigned;
-use crate::draft_jobs::FleetSeen;
+use crate::draft_jobs::Assignment;
+use crate::draft_jobs::FleetSnapshot;
 use crate::draft_jobs::Job;
 use crate::draft_jobs::State;
 use crate::draft_jobs::completed_result;
@@ -34,8 +34,8 @@
 use crate::draft_jobs::initial_ranks;
 use crate::draft_jobs::is_done;
 use crate::draft_run::Attempt;
-use crate::draft_run::Reached;
 use crate::draft_run::Run;
+use crate::draft_run::RunProgress;
 use crate::engines::rollout_engines;
 use crate::interest::DraftedModel;
 use crate::mechanisms::Mechanism;
@@ -46,7 +46,7 @@
 use crate::sample_order::record_length;
 use crate::sample_order::record_step;
 use crate::scaling::drain::leaving_engines;
-use crate::scoring::Scored;
+use crate::scoring::ScoreOutcome;
 use crate::scoring::Scoring;
 use crate::shared::Shared;
 use crate::submission::local::LocalSubmission;
@@ -58,7 +58,7 @@
 const MIN_SAVED_EVENTS: usize = 25;
 
 /// Longest time between two checks for work of which no notification tells.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(250);
+pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Generates the samples of this node's submissions; cheap to clone.
 #[derive(Debug, Clone)]
@@ -206,23 +206,23 @@
         }));
     }
 
-    fn record_score(&self, key: SampleKey, scored: Scored) {
+    fn record_score(&self, key: SampleKey, scored: ScoreOutcome) {
         let mut state = self.lock();
         let Some(at) = state.job_index(key) else {
             return;
         };
         match scored {
-            Scored::Score(score) => {
+            ScoreOutcome::Score(score) => {
                 state.jobs[at].progress.score = Some(score);
                 self.record_result(&mut state, at);
             }
-            Scored::GivenUp(reason) => self.abandon(&mut state, key, reason),
+            ScoreOutcome::Abandoned(reason) => self.abandon(&mut state, key, reason),
         }
     }
 
     /// Age at which a submission is due; zero while its route is not known.
     #[must_use]
-    pub fn due_of(&self, head: &Head) -> Duration {
+    pub fn due_age(&self, head: &Head) -> Duration {
         let config = self.shared.fleet.config();
         let route = config.route(&head.host, &head.path);
         route.map_or(Duration::ZERO, |route| Duration::from_millis(route.due_ms))
@@ -305,7 +305,7 @@
         for planned in moves {
             self.request_move(state, planned);
         }
-        let latest = now + LOOK_EVERY;
+        let latest = now + CHECK_INTERVAL;
         let engines = state.next_engine_update.filter(|after| *after > now);
         let times = [state.placement.next_retry_at(now), engines];
         let next = times.into_iter().flatten().min();
@@ -333,7 +333,7 @@
         if state.next_engine_update.is_some_and(|after| began < after) {
             return;
         }
-        let snapshot = FleetSeen::of(&self.shared.fleet);
+        let snapshot = FleetSnapshot::of(&self.shared.fleet);
         if state
             .applied_fleet
             .as_ref()
@@ -346,7 +346,7 @@
         state.next_engine_update = Some(began + pause_after(took, Duration::ZERO));
     }
 
-    fn apply_fleet(&self, state: &mut State, snapshot: FleetSeen) {
+    fn apply_fleet(&self, state: &mut State, snapshot: FleetSnapshot) {
         let config = Arc::clone(&snapshot.config);
         self.update_slack_order(state, &snapshot);
         state.applied_fleet = Some(snapshot);
@@ -467,7 +467,7 @@
         if state.next_expiry_check.is_some_and(|after| now < after) {
             return;
         }
-        state.next_expiry_check = Some(now + LOOK_EVERY);
+        state.next_expiry_check = Some(now + CHECK_INTERVAL);
         let config = self.shared.fleet.config();
         let expired = |job: &Job| {
             let head = &job.submission.head;
@@ -496,14 +496,14 @@
         let job = &mut state.jobs[at];
         let (submission, item_index) = (Arc::clone(&job.submission), job.item_index);
         let event_timeout = state.placement.event_timeout(job.timeouts_in_row);
-        let reached = Reached {
+        let progress = RunProgress {
             last_event: job.progress.last_event,
             versions: job.progress.versions.clone(),
             events_of_run: 0,
         };
         job.leave = Arc::default();
         job.move_reason = None;
-        let assigned = Assigned {
+        let assignment = Assignment {
             upstream,
             event_timeout,
             leave: Arc::clone(&job.leave),
@@ -514,7 +514,7 @@
         job.first_started_at.get_or_insert(now);
         self.record_first_slack(job, now);
         drop(tokio::spawn(async move {
-            let run = drafting.run_on_engine(key, submission, item_index, assigned, reached);
+            let run = drafting.run_on_engine(key, submission, item_index, assignment, progress);
             run.await;
         }));
     }
@@ -524,14 +524,14 @@
         key: SampleKey,
         submission: Arc<LocalSubmission>,
         item_index: usize,
-        assigned: Assigned,
-        mut reached: Reached,
+        assignment: Assignment,
+        mut progress: RunProgress,
     ) {
-        let Assigned {
+        let Assignment {
             upstream,
             event_timeout,
             leave,
-        } = assigned;
+        } = assignment;
         let started = self.shared.clock.now();
         let on_event = |event, version| self.record_event(key, event, version);
         let on_load = |load| self.record_load(&upstream.instance, load);
@@ -546,7 +546,7 @@
             event_timeout,
         };
         let attempt = tokio::select! {
-            attempt = run.attempt(&mut reached) => attempt,
+            attempt = run.attempt(&mut progress) => attempt,
             () = leave.notified() => Attempt::Moved,
         };
         let ended = self.shared.clock.now();
@@ -558,7 +558,7 @@
                 ("item", &submission.items[item_index].id),
                 ("upstream", &upstream.instance),
                 ("outcome", &outcome),
-                ("events", &reached.events_of_run),
+                ("events", &progress.events_of_run),
                 ("took_ms", &took_ms),
             ];
             let is_moved = attempt == Attempt::Moved;
@@ -583,7 +583,7 @@
             let timed_out = matches!(attempt, Attempt::Broken("silent" | "head-late"));
             let job = &mut state.jobs[at];
             job.running = false;
-            job.timeouts_in_row = match (timed_out, reached.events_of_run) {
+            job.timeouts_in_row = match (timed_out, progress.events_of_run) {
                 (true, 0) => job.timeouts_in_row + 1,
                 (true, _) => job.timeouts_in_row.max(1),
                 (false, _) => 0,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -502,7 +502,7 @@
         interest.take_config(&fleet.config());
         standing.set_takes_steps(!tasks.is_draining());
         live.take_fleet();
-        scoring.take_fleet();
+        scoring.update_upstreams();
     });
     let list = Arc::new(std::sync::Mutex::new(UpstreamList::default()));
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
@@ -535,7 +535,7 @@
         // Live and reward calls do not ask which weights an upstream has.
         if taken.whereabouts {
             live.take_fleet();
-            scoring.take_fleet();
+            scoring.update_upstreams();
         }
     });
     let fleet = Arc::clone(&node.fleet);
@@ -575,7 +575,7 @@
             drop(list);
             if dropped {
                 live.take_fleet();
-                scoring.take_fleet();
+                scoring.update_upstreams();
             }
             live.tick();
             scoring.tick();
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -12,11 +12,11 @@
 use firweir_policy::slack::rank_by_slack;
 use firweir_policy::slack::slack_ms;
 
-use crate::draft_jobs::FleetSeen;
+use crate::draft_jobs::FleetSnapshot;
 use crate::draft_jobs::Job;
 use crate::draft_jobs::State;
+use crate::drafting::CHECK_INTERVAL;
 use crate::drafting::Drafting;
-use crate::drafting::LOOK_EVERY;
 use crate::mechanisms::Mechanism;
 use crate::model::Config;
 use crate::model::RouteKind;
@@ -63,7 +63,7 @@
 
 impl Drafting {
     /// Enables or disables the order by slack according to the current engines.
-    pub(crate) fn update_slack_order(&self, state: &mut State, snapshot: &FleetSeen) {
+    pub(crate) fn update_slack_order(&self, state: &mut State, snapshot: &FleetSnapshot) {
         let is_on = self.shared.off.leaves(Mechanism::StepSlack);
         let by_slack = is_on && serves_several_models(&snapshot.config, &snapshot.upstreams);
         if state.is_by_slack == by_slack {
@@ -80,13 +80,13 @@
         rank_waiting(state);
     }
 
-    /// Reorders the waiting samples, at most once per [`LOOK_EVERY`].
+    /// Reorders the waiting samples, at most once per [`CHECK_INTERVAL`].
     pub(crate) fn order_waiting(&self, state: &mut State, now: Instant) {
         let is_early = state.next_reorder.is_some_and(|after| now < after);
         if !state.is_by_slack || is_early || state.placement.waiting() == 0 {
             return;
         }
-        state.next_reorder = Some(now + LOOK_EVERY);
+        state.next_reorder = Some(now + CHECK_INTERVAL);
         let event = state.placement.median_event_time();
         let State { jobs, lengths, .. } = state;
         // Jobs of one step are adjacent.
@@ -125,7 +125,7 @@
 
     /// Time from when a step was accepted until it is due, and its current age.
     fn due_and_age(&self, submission: &LocalSubmission, now: Instant) -> (Duration, Duration) {
-        let due = self.due_of(&submission.head);
+        let due = self.due_age(&submission.head);
         let due_at = submission.due_at(&self.shared.fleet.config());
         let accepted = due_at.checked_sub(due).unwrap_or(due_at);
         (due, now.saturating_duration_since(accepted))
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -52,11 +52,11 @@
 
 /// How scoring a text ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Scored {
+pub enum ScoreOutcome {
     /// It has a score.
     Score(Score),
     /// The item is given up, for this reason.
-    GivenUp(&'static str),
+    Abandoned(&'static str),
 }
 
 /// How one attempt of a reward call ended.
@@ -92,7 +92,7 @@
 }
 
 impl Scoring {
-    /// Knows no upstream before [`Scoring::take_fleet`].
+    /// Knows no upstream before [`Scoring::update_upstreams`].
     #[must_use]
     pub fn new(shared: Shared, zone: String) -> Self {
         let is_paced = shared.off.leaves(Mechanism::PacedRewards);
@@ -105,7 +105,7 @@
     }
 
     /// Brings the gates up to what the fleet knows.
-    pub fn take_fleet(&self) {
+    pub fn update_upstreams(&self) {
         self.gates.take_fleet(&self.shared.fleet);
     }
 
@@ -120,24 +120,24 @@
         submission: &LocalSubmission,
         item: &Item,
         call: &RewardCall,
-    ) -> Scored {
+    ) -> ScoreOutcome {
         let mut avoid = Vec::new();
         let mut failures = 0;
         loop {
             if let Some(reason) = self.is_over(submission) {
-                return Scored::GivenUp(reason);
+                return ScoreOutcome::Abandoned(reason);
             }
             let attempt = self.attempt(submission, call, &mut avoid).await;
             if let Attempt::Answered(proof) = attempt {
                 let call = call.clone();
-                return Scored::Score(Score { call, proof });
+                return ScoreOutcome::Score(Score { call, proof });
             }
             self.note(submission, item, call, &attempt);
             let pause = match attempt {
                 Attempt::Failed => {
                     failures += 1;
                     if failures >= self.most_failures(submission, call) {
-                        return Scored::GivenUp("score-failed");
+                        return ScoreOutcome::Abandoned("score-failed");
                     }
                     Duration::ZERO
                 }
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -403,7 +403,7 @@
         if !self.shared.off.leaves(Mechanism::HeldAnswers) {
             return submission.results(after, wait).await;
         }
-        let due = self.shared.drafting.due_of(&submission.head);
+        let due = self.shared.drafting.due_age(&submission.head);
         let clock = &*self.shared.clock;
         submission.results_held(after, wait, due, clock).await
     }
@@ -508,7 +508,7 @@
             if self.shared.off.leaves(Mechanism::SavedTexts) {
                 drop(tokio::spawn(saver.run()));
             }
-            let due = self.shared.drafting.due_of(&submission.head);
+            let due = self.shared.drafting.due_age(&submission.head);
             let paced = self.shared.off.leaves(Mechanism::PacedListing);
             drop(tokio::spawn(
                 submission.write_log(store, clock, journal, due, paced),
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -39,11 +39,11 @@
 use crate::relay::hash_of_name;
 
 /// Time between looks at whether orders are due.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two looks of a node that neither gives orders nor sees engines: each wakes
 /// up every VM of a fleet.
-const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Orders that are due for this long while no engine changes its weights, and up to
 /// as much again at random, make a node ask the holder: longer than a load takes.
@@ -176,12 +176,12 @@
             holder.claim_unheld().await;
         }
         let patience = PATIENCE.mul_f64(1.0 + spread);
-        let mut pause = LOOK_EVERY;
+        let mut pause = CHECK_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
             pause = match self.look(patience).await {
-                Look::Idle => IDLE_LOOK_EVERY,
-                Look::Took(took) => pause_after(took, LOOK_EVERY),
+                Look::Idle => IDLE_CHECK_INTERVAL,
+                Look::Took(took) => pause_after(took, CHECK_INTERVAL),
             };
         }
     }
