--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -250,7 +250,7 @@
 
 /// Kinds of objects in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ObjectKind {
     /// The operator's configuration.
     Configuration,
     /// The list of upstreams.
@@ -303,7 +303,7 @@
     /// Reads one object.
     Read {
         /// Kind of the object.
-        kind: Kind,
+        kind: ObjectKind,
         /// Its name.
         name: String,
         /// How old the answer may be.
@@ -312,7 +312,7 @@
     /// Lists objects of a kind, in order of their names.
     List {
         /// The kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// Names up to this one are left out.
         after: String,
         /// How old the answer may be.
@@ -321,7 +321,7 @@
     /// Waits for changes of a kind.
     Watch {
         /// The kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// Changes up to this revision are known.
         since: u64,
         /// How long the store may wait for a change.
@@ -332,7 +332,7 @@
     /// Creates an object that must not exist.
     Create {
         /// Its kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// Its name.
         name: String,
         /// Its value.
@@ -341,7 +341,7 @@
     /// Replaces an object that must be at a revision.
     Replace {
         /// Its kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// Its name.
         name: String,
         /// The revision.
@@ -359,7 +359,7 @@
     /// Deletes an object that must be at a revision.
     Delete {
         /// Its kind.
-        kind: Kind,
+        kind: ObjectKind,
         /// Its name.
         name: String,
         /// The revision.
--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -8,7 +8,7 @@
 
 use crate::change::Change;
 use crate::dialect::Dialect;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreCall;
 use crate::follow::Following;
 use crate::node::Base;
@@ -36,14 +36,18 @@
     let store = base.store.clone();
     let journal = base.journal.clone();
     let (asked, mut asking) = tokio::sync::mpsc::unbounded_channel();
-    base.follow(Kind::Evacuations, Following::seconds_late, move |news| {
-        for object in news.changes.into_iter().flat_map(Change::into_objects) {
-            if !object.reported {
-                // The receiver lives as long as the process.
-                drop(asked.send(object));
+    base.follow(
+        ObjectKind::Evacuations,
+        Following::seconds_late,
+        move |news| {
+            for object in news.changes.into_iter().flat_map(Change::into_objects) {
+                if !object.reported {
+                    // The receiver lives as long as the process.
+                    drop(asked.send(object));
+                }
             }
-        }
-    });
+        },
+    );
     base.tasks.spawn(async move {
         while let Some(object) = asking.recv().await {
             // All such nodes hear of it at the same time, and one report is enough.
@@ -61,7 +65,7 @@
 /// Reports a VM as empty, until the store has taken it.
 async fn report_evacuated(store: &Store, journal: &Journal, name: &str) {
     loop {
-        let outcome = match store.read(Kind::Evacuations, name).await {
+        let outcome = match store.read(ObjectKind::Evacuations, name).await {
             Ok(Some(object)) if !object.reported => {
                 let (name, revision) = (object.name, object.revision);
                 let report = StoreCall::ReportEvacuated { name, revision };
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -16,8 +16,8 @@
 use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
@@ -181,7 +181,7 @@
 /// One kind as its follower knows it.
 pub(crate) struct Follower {
     pub(crate) sources: Sources,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ObjectKind,
     /// Revision of the store up to which changes are known.
     pub(crate) since: Option<u64>,
     /// Highest revision of the store that was known at any time.
@@ -222,7 +222,7 @@
 /// Follows a kind and tells `take` of its changes, as they come together. Never ends.
 pub async fn follow(
     sources: Sources,
-    kind: Kind,
+    kind: ObjectKind,
     how: impl Fn() -> Following,
     mut take: impl FnMut(News),
 ) {
@@ -276,7 +276,7 @@
     /// Versions of weights say something to nodes that follow engines; each is news to all
     /// that ask, and trainers name some every second.
     async fn await_need(&self) {
-        if self.kind == Kind::WeightVersions {
+        if self.kind == ObjectKind::WeightVersions {
             self.sources.interest.engines_followed().await;
         }
     }
@@ -285,7 +285,7 @@
     /// Tells whether it does.
     pub(crate) fn take_interest(&mut self) -> bool {
         let wanted = self.sources.interest.wanted();
-        let is_new = self.kind == Kind::Upstreams && wanted != self.wanted;
+        let is_new = self.kind == ObjectKind::Upstreams && wanted != self.wanted;
         if is_new {
             self.wanted = wanted;
             self.since = None;
@@ -344,7 +344,7 @@
     /// does not follow: once it asks a seed again it hears no change of that.
     fn is_wanted(&self, object: &Object) -> bool {
         match &self.wanted {
-            Wanted::Parts(parts) if self.kind == Kind::Upstreams => {
+            Wanted::Parts(parts) if self.kind == ObjectKind::Upstreams => {
                 let routing = self.digest_of(object);
                 routing.is_none_or(|routing| parts.have(routing))
             }
@@ -354,7 +354,7 @@
 
     /// Whereabouts that an entry tells; none if it cannot be read.
     fn digest_of(&self, object: &Object) -> Option<RoutingDigest> {
-        if self.kind != Kind::Upstreams {
+        if self.kind != ObjectKind::Upstreams {
             return None;
         }
         let upstream = self.sources.dialect.upstream(object).ok()?;
@@ -368,7 +368,7 @@
         let pause = if is_seed { how.seed_pause } else { how.pause };
         tokio::time::sleep(pause).await;
         // Others trust what a seed passes on. Homes of models may be old for them too.
-        let freshness = if is_seed && self.kind != Kind::Duties {
+        let freshness = if is_seed && self.kind != ObjectKind::Duties {
             Freshness::Newest
         } else {
             how.freshness
@@ -463,7 +463,7 @@
 /// The store did not answer.
 pub async fn list(
     store: &Store,
-    kind: Kind,
+    kind: ObjectKind,
     freshness: Freshness,
 ) -> Result<(Vec<Object>, u64), StoreError> {
     let mut all: Vec<Object> = Vec::new();
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use rand::Rng;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::follow::Extent;
 use crate::follow::FleetSize;
 use crate::follow::Follower;
@@ -93,7 +93,7 @@
         // A watch is a single call; only lists can overload the store.
         let needs_list = self.since.is_none() || self.gap;
         let asks_seeds = !self.sources.seeds.now().asked.is_empty();
-        if self.kind != Kind::Upstreams || !needs_list || !asks_seeds {
+        if self.kind != ObjectKind::Upstreams || !needs_list || !asks_seeds {
             return false;
         }
         let spread = self.fleet_size.and_then(|size| {
@@ -135,7 +135,7 @@
     /// An outdated list of upstreams, for a node that has just started and knows none: without
     /// it, its callers would be refused until the store is back.
     fn first_of(&self, relay_answer: RelayAnswer) -> Option<Update> {
-        let knows_none = self.kind == Kind::Upstreams && self.newest == 0;
+        let knows_none = self.kind == ObjectKind::Upstreams && self.newest == 0;
         (knows_none && relay_answer.revision > 0).then(|| self.taken_from(relay_answer, None))
     }
 
@@ -163,7 +163,7 @@
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = format!("{RELAY_PATH}{name}?{query}").parse().ok()?;
         // Questions for one kind are enough to announce this node as a member.
-        if self.kind == Kind::Duties
+        if self.kind == ObjectKind::Duties
             && let Some(member) = self.sources.standing.header()
         {
             request.headers_mut().insert(MEMBER, member);
@@ -172,7 +172,7 @@
         let answer = tokio::select! {
             answer = connections.call(seed, request, POLL_TIMEOUT) => answer.ok()?,
             // The seed may hold its answer for long, while the new question is urgent.
-            () = interest.changed(), if self.kind == Kind::Upstreams => return None,
+            () = interest.changed(), if self.kind == ObjectKind::Upstreams => return None,
         };
         let relay_answer: RelayAnswer = serde_json::from_slice(answer.body()).ok()?;
         self.seeds_answer = true;
@@ -187,7 +187,7 @@
 
     fn relay_request(&self) -> RelayRequest {
         let parts = match &self.wanted {
-            Wanted::Parts(parts) if self.kind == Kind::Upstreams => Some(parts.clone()),
+            Wanted::Parts(parts) if self.kind == ObjectKind::Upstreams => Some(parts.clone()),
             Wanted::Parts(_) | Wanted::All => None,
         };
         RelayRequest {
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -32,8 +32,8 @@
 use crate::change::Change;
 use crate::connection_pool::CallError;
 use crate::connection_pool::ConnectionPool;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::duty::BootClock;
 use crate::duty::Duty;
@@ -238,7 +238,7 @@
     /// would get no weights until another node missed the orders and waited for a lease.
     /// An old answer of the store does: the change is made on a condition.
     pub(crate) async fn reclaim(&self) {
-        let read = self.parts.store.read_stale(Kind::Duties, DUTY).await;
+        let read = self.parts.store.read_stale(ObjectKind::Duties, DUTY).await;
         match read.map(|object| object.as_ref().map(|object| self.found(object))) {
             Ok(Some(found)) if found.holder() == Some(&self.parts.this_node) => {
                 self.take(Some(found), PreviousHolder::Nobody).await;
@@ -256,7 +256,7 @@
     }
 
     async fn read_duty(&self) -> Result<Option<StoredDuty>, StoreError> {
-        let object = self.parts.store.read(Kind::Duties, DUTY).await?;
+        let object = self.parts.store.read(ObjectKind::Duties, DUTY).await?;
         Ok(object.as_ref().map(|object| self.found(object)))
     }
 
@@ -376,7 +376,7 @@
             epoch: known.as_ref().map_or(1, |found| found.epoch() + 1),
         };
         let write = &duty.write;
-        let kind = Kind::Duties;
+        let kind = ObjectKind::Duties;
         let taken = match &known {
             None => {
                 let until = parts.clock.now() + CREATE_FOR;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -27,7 +27,7 @@
 use crate::detour::Detour;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::door::Door;
 use crate::drafting::Drafting;
 use crate::duty::SystemBootClock;
@@ -203,7 +203,7 @@
 
     pub(crate) fn follow(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         how: impl Fn() -> Following + Send + Sync + 'static,
         take: impl FnMut(News) + Send + 'static,
     ) {
@@ -488,13 +488,13 @@
     let how = move || {
         let has_accounts = !configured.config().accounts.is_empty();
         let limits = has_accounts.then(|| settings.now().news_limits());
-        relay.set_max_hold(Kind::Configuration, limits.map(|limits| limits.hold));
+        relay.set_max_hold(ObjectKind::Configuration, limits.map(|limits| limits.hold));
         Following {
             watch_most: limits.map(|limits| limits.watch),
             ..Following::at_once()
         }
     };
-    base.follow(Kind::Configuration, how, move |news| {
+    base.follow(ObjectKind::Configuration, how, move |news| {
         for change in news.changes {
             fleet.take_config(change);
         }
@@ -520,7 +520,7 @@
         seed_pause: SEED_PAUSE,
         ..Following::at_once()
     };
-    base.follow(Kind::Upstreams, how, move |news| {
+    base.follow(ObjectKind::Upstreams, how, move |news| {
         let mut list = followed
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -548,14 +548,14 @@
         },
         ..Following::at_once()
     };
-    base.follow(Kind::WeightVersions, how, move |news| {
+    base.follow(ObjectKind::WeightVersions, how, move |news| {
         for change in news.changes {
             fleet.take_version(change);
         }
     });
     let (homes, holder) = (node.homes.clone(), node.holder.clone());
     let how = Following::seconds_late;
-    base.follow(Kind::Duties, how, move |news| {
+    base.follow(ObjectKind::Duties, how, move |news| {
         for change in news.changes {
             holder.apply_change(&change);
             homes.apply(change);
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -14,7 +14,7 @@
 
 use tokio::sync::Notify;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 
 /// A follower waits this long for the one that asks. With the pause before its call it stays
@@ -30,14 +30,14 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// The kind whose follower asks; `None` while the store answers.
-    asking: Mutex<Option<Kind>>,
+    asking: Mutex<Option<ObjectKind>>,
     over: Notify,
 }
 
 impl Outage {
     /// A call for this kind failed. Only an answer that says that nothing was done, or no
     /// connection, tells of the store; any other may be this call's own trouble.
-    pub fn failed(&self, kind: Kind, error: &StoreError) {
+    pub fn failed(&self, kind: ObjectKind, error: &StoreError) {
         if matches!(error, StoreError::Refused(_) | StoreError::Unreachable) {
             self.lock().get_or_insert(kind);
         }
@@ -57,7 +57,7 @@
     }
 
     /// Waits while another kind's follower asks.
-    pub async fn wait(&self, kind: Kind) {
+    pub async fn wait(&self, kind: ObjectKind) {
         let over = self.inner.over.notified();
         tokio::pin!(over);
         // Before the look, so that an end in between is not missed.
@@ -69,7 +69,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Kind>> {
+    fn lock(&self) -> MutexGuard<'_, Option<ObjectKind>> {
         let asking = self.inner.asking.lock();
         asking.unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -34,8 +34,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::change::Change;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::interest::ModelSlice;
 use crate::interest::Parts;
 use crate::model::Upstream;
@@ -44,11 +44,11 @@
 pub const RELAY_PATH: &str = "/peer/relay/";
 
 /// Kinds that seeds relay, with their names in paths.
-const KINDS: [(&str, Kind); 4] = [
-    ("configuration", Kind::Configuration),
-    ("upstreams", Kind::Upstreams),
-    ("versions", Kind::WeightVersions),
-    ("duties", Kind::Duties),
+const KINDS: [(&str, ObjectKind); 4] = [
+    ("configuration", ObjectKind::Configuration),
+    ("upstreams", ObjectKind::Upstreams),
+    ("versions", ObjectKind::WeightVersions),
+    ("duties", ObjectKind::Duties),
 ];
 
 /// Lower bound of the allowed age of a seed's data: its watches end only after [`SEED_WATCH_WAIT`].
@@ -332,14 +332,14 @@
 
 /// Name of a kind in paths; `None` if seeds do not relay it.
 #[must_use]
-pub fn path_name_of(kind: Kind) -> Option<&'static str> {
+pub fn path_name_of(kind: ObjectKind) -> Option<&'static str> {
     let found = KINDS.iter().find(|(_, relayed)| *relayed == kind);
     found.map(|(name, _)| *name)
 }
 
 /// The kind with this name in paths.
 #[must_use]
-pub fn kind_from_path_name(name: &str) -> Option<Kind> {
+pub fn kind_from_path_name(name: &str) -> Option<ObjectKind> {
     let found = KINDS.iter().find(|(relayed, _)| *relayed == name);
     found.map(|(_, kind)| *kind)
 }
@@ -370,7 +370,7 @@
     pub fn apply(
         &self,
         now: Instant,
-        kind: Kind,
+        kind: ObjectKind,
         revision: u64,
         changes: &[Change],
         digest_of: impl Fn(&Object) -> Option<RoutingDigest>,
@@ -391,7 +391,7 @@
     }
 
     /// Limits how long requests for a kind are held; `None` restores the default.
-    pub fn set_max_hold(&self, kind: Kind, most: Option<Duration>) {
+    pub fn set_max_hold(&self, kind: ObjectKind, most: Option<Duration>) {
         if let Some(relayed_kind) = self.relayed_kind(kind) {
             let max_ms = most.map_or(0, |most| most.as_millis() as u64);
             relayed_kind.max_hold_ms.store(max_ms, Ordering::Relaxed);
@@ -399,7 +399,7 @@
     }
 
     /// Records that the store had nothing newer at `as_of` (time since boot).
-    pub fn record_as_of(&self, kind: Kind, as_of: Option<Duration>) {
+    pub fn record_as_of(&self, kind: ObjectKind, as_of: Option<Duration>) {
         if let Some(relayed_kind) = self.relayed_kind(kind) {
             let mut mirror = relayed_kind.lock();
             mirror.as_of = mirror.as_of.max(as_of);
@@ -409,7 +409,7 @@
     /// Answers with the changes after the revision of the request; waits while there are none.
     pub async fn answer(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         request: &RelayRequest,
         now: impl Fn() -> Instant,
     ) -> RelayAnswer {
@@ -432,7 +432,7 @@
         }
     }
 
-    fn relayed_kind(&self, kind: Kind) -> Option<&RelayedKind> {
+    fn relayed_kind(&self, kind: ObjectKind) -> Option<&RelayedKind> {
         let at = KINDS.iter().position(|(_, relayed)| *relayed == kind)?;
         Some(&self.kinds[at])
     }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -20,7 +20,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::fleet::Fleet;
 use crate::follow::list;
@@ -177,7 +177,7 @@
         let Some(epoch) = parts.holder.verified_epoch().await else {
             return Ok(None);
         };
-        let (objects, _) = list(&parts.store, Kind::ScaleOrders, Freshness::Newest).await?;
+        let (objects, _) = list(&parts.store, ObjectKind::ScaleOrders, Freshness::Newest).await?;
         let mut subjects = Vec::new();
         for (mut subject, record) in read_records(&objects, &parts.store) {
             // Another node holds the duty, and this one has not learnt of it yet.
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -17,8 +17,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::store::Store;
 
@@ -228,7 +228,7 @@
             on_demand_unconfirmed: is_unconfirmed(CapacityType::OnDemand),
             spot_unconfirmed: is_unconfirmed(CapacityType::Spot),
         };
-        let (kind, name) = (Kind::ScaleOrders, self.name());
+        let (kind, name) = (ObjectKind::ScaleOrders, self.name());
         self.revision = Some(match self.revision {
             Some(revision) => {
                 let replacing = store.replace(kind, &name, revision, &record, &record.write);
@@ -274,7 +274,7 @@
     let read = |object: &Object| {
         let record = serde_json::from_str::<Record>(object.value.get());
         if let Err(error) = &record {
-            store.note_unreadable(Kind::ScaleOrders, &object.name, error);
+            store.note_unreadable(ObjectKind::ScaleOrders, &object.name, error);
         }
         let record = record.ok()?;
         Some((Subject::recorded(&record, object.revision), record))
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -21,8 +21,8 @@
 use crate::detour::to_node;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
@@ -223,7 +223,7 @@
     }
 
     /// Notes that an object of the system's own is not as the system writes it.
-    pub fn note_unreadable(&self, kind: Kind, name: &str, cause: &serde_json::Error) {
+    pub fn note_unreadable(&self, kind: ObjectKind, name: &str, cause: &serde_json::Error) {
         self.journal.event(
             "object_unreadable",
             &[
@@ -239,7 +239,7 @@
     /// # Errors
     ///
     /// The store did not answer.
-    pub async fn read(&self, kind: Kind, name: &str) -> Result<Option<Object>, StoreError> {
+    pub async fn read(&self, kind: ObjectKind, name: &str) -> Result<Option<Object>, StoreError> {
         self.read_as(kind, name, Freshness::Newest).await
     }
 
@@ -248,13 +248,17 @@
     /// # Errors
     ///
     /// The store did not answer.
-    pub async fn read_stale(&self, kind: Kind, name: &str) -> Result<Option<Object>, StoreError> {
+    pub async fn read_stale(
+        &self,
+        kind: ObjectKind,
+        name: &str,
+    ) -> Result<Option<Object>, StoreError> {
         self.read_as(kind, name, Freshness::Seconds).await
     }
 
     async fn read_as(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         freshness: Freshness,
     ) -> Result<Option<Object>, StoreError> {
@@ -283,7 +287,7 @@
     /// appear; any other error says that this write made nothing.
     pub async fn create<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         value: &T,
         write: &str,
@@ -328,7 +332,7 @@
     /// As [`StoreError`] tells; after [`StoreError::Unknown`] it may yet appear.
     pub async fn create_once<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         value: &T,
     ) -> Result<u64, StoreError> {
@@ -348,7 +352,7 @@
     /// # Errors
     ///
     /// The store did not answer, or the object changed meanwhile.
-    pub async fn remove(&self, kind: Kind, name: &str) -> Result<(), StoreError> {
+    pub async fn remove(&self, kind: ObjectKind, name: &str) -> Result<(), StoreError> {
         let Some(object) = self.read(kind, name).await? else {
             return Ok(());
         };
@@ -374,7 +378,7 @@
     /// [`StoreError::Unknown`] if it is open whether this one was made.
     pub async fn replace<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         revision: u64,
         value: &T,
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use tokio::sync::watch;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::mechanisms::Mechanism;
 use crate::model::Submission;
@@ -308,7 +308,13 @@
             // An existing part is from an earlier attempt of the same submission, whose items
             // are the same in every attempt.
             store
-                .create(Kind::SubmissionParts, &name, &part, &part.write, until)
+                .create(
+                    ObjectKind::SubmissionParts,
+                    &name,
+                    &part,
+                    &part.write,
+                    until,
+                )
                 .await
                 .map_err(|error| match error {
                     // Without a head the submission doesn't run, even if the part was written.
@@ -332,7 +338,13 @@
         };
         let sent = self.shared.boot_clock.since_boot();
         let created = store
-            .create(Kind::Submissions, &submission.id, &head, &head.write, until)
+            .create(
+                ObjectKind::Submissions,
+                &submission.id,
+                &head,
+                &head.write,
+                until,
+            )
             .await?;
         Ok((created == Created::Now).then_some((head, sent)))
     }
--- a/crates/node/src/submission/heads.rs
+++ b/crates/node/src/submission/heads.rs
@@ -8,8 +8,8 @@
 
 use firweir::process::log::Journal;
 
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::store::Store;
 use crate::submission::records::Head;
@@ -90,7 +90,7 @@
         }
         // A stale head is enough to call another runner, which knows of later changes. That a
         // submission doesn't exist, or that this node runs it, needs the newest state.
-        let stale = self.store.read_stale(Kind::Submissions, id).await;
+        let stale = self.store.read_stale(ObjectKind::Submissions, id).await;
         if let Ok(Some(object)) = stale
             && let Some(known) = self.decode(object)
             && known.head.runner != self.this_node
@@ -107,7 +107,7 @@
     ///
     /// The store did not answer.
     pub async fn read_newest(&self, id: &str) -> Result<Option<VersionedHead>, StoreError> {
-        let object = self.store.read(Kind::Submissions, id).await?;
+        let object = self.store.read(ObjectKind::Submissions, id).await?;
         let known = object.and_then(|object| self.decode(object));
         if let Some(known) = &known {
             self.update(known.clone());
@@ -184,7 +184,7 @@
         head: Head,
     ) -> Result<VersionedHead, StoreError> {
         let write = head.write.clone();
-        let (kind, id, revision) = (Kind::Submissions, &known.id, known.revision);
+        let (kind, id, revision) = (ObjectKind::Submissions, &known.id, known.revision);
         let replacing = self.store.replace(kind, id, revision, &head, &write);
         let object = replacing.await?;
         let replaced = VersionedHead {
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -16,8 +16,8 @@
 
 use crate::change::Change;
 use crate::demand::ModelDemands;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::roster::Settled;
 use crate::store::Store;
 use crate::submission::records::NodeRef;
@@ -122,7 +122,7 @@
         let homes = self.by_model.load();
         let known = homes.iter().find(|home| home.model == model).cloned();
         drop(homes);
-        let (kind, write) = (Kind::Duties, &record.write);
+        let (kind, write) = (ObjectKind::Duties, &record.write);
         let written = match known {
             Some(known) => {
                 let replacing = self
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
@@ -167,7 +167,7 @@
         let mut items = Vec::new();
         for number in 0..head.parts as usize {
             let object = store
-                .read(Kind::SubmissionParts, &record_name(id, number))
+                .read(ObjectKind::SubmissionParts, &record_name(id, number))
                 .await?
                 .ok_or(StoreError::Missing)?;
             let part: SubmissionPart = serde_json::from_str(object.value.get())
@@ -181,7 +181,7 @@
         submission.catch_up(store).await?;
         if submission.is_running() {
             let records: Vec<UnfinishedTexts> =
-                read_records(store, Kind::UnfinishedTexts, id, 0).await?;
+                read_records(store, ObjectKind::UnfinishedTexts, id, 0).await?;
             submission.set_saved_record_count(records.len());
             let pieces = records.into_iter().flat_map(|record| record.pieces);
             *submission.lock_saved() = join_pieces(pieces.collect());
@@ -197,7 +197,7 @@
     pub async fn catch_up(&self, store: &Store) -> Result<(), StoreError> {
         let known = self.lock().chunks;
         let chunks: Vec<ResultChunk> =
-            read_records(store, Kind::ResultChunks, &self.id, known).await?;
+            read_records(store, ObjectKind::ResultChunks, &self.id, known).await?;
         for (offset, chunk) in chunks.into_iter().enumerate() {
             self.append(known + offset, chunk.results);
         }
@@ -492,7 +492,7 @@
         let started = clock.now();
         while !self.is_released() {
             let until = clock.now() + WRITE_TIMEOUT;
-            let kind = Kind::ResultChunks;
+            let kind = ObjectKind::ResultChunks;
             match store.create(kind, &name, &chunk, &chunk.write, until).await {
                 Ok(Created::Now) => {
                     let took_ms = clock.now().duration_since(started).as_millis();
@@ -674,7 +674,7 @@
 /// reader, so positions stay the same, and later records are not lost.
 async fn read_records<T: DeserializeOwned + Default>(
     store: &Store,
-    kind: Kind,
+    kind: ObjectKind,
     submission: &str,
     from: usize,
 ) -> Result<Vec<T>, StoreError> {
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -26,7 +26,7 @@
 use crate::dialect::AskedCall;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::Question;
 use crate::dialect::ResultPage;
 use crate::dialect::StoreError;
@@ -212,7 +212,7 @@
     pub async fn resume(&self) {
         let store = &self.shared.store;
         let listed = loop {
-            match list(store, Kind::Submissions, Freshness::Seconds).await {
+            match list(store, ObjectKind::Submissions, Freshness::Seconds).await {
                 Ok((objects, _)) => break objects,
                 Err(_) => tokio::time::sleep(RESUME_RETRY_DELAY).await,
             }
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::submission::local::LocalSubmission;
 use crate::submission::manager::SubmissionManager;
@@ -52,9 +52,9 @@
         }
         let store = &self.shared.store;
         let records = [
-            (Kind::ResultChunks, submission.chunk_count()),
-            (Kind::UnfinishedTexts, submission.saved_record_count()),
-            (Kind::SubmissionParts, submission.head.parts as usize),
+            (ObjectKind::ResultChunks, submission.chunk_count()),
+            (ObjectKind::UnfinishedTexts, submission.saved_record_count()),
+            (ObjectKind::SubmissionParts, submission.head.parts as usize),
         ];
         for (kind, count) in records {
             for number in 0..count {
@@ -62,6 +62,6 @@
                 store.remove(kind, &name).await?;
             }
         }
-        store.remove(Kind::Submissions, &submission.id).await
+        store.remove(ObjectKind::Submissions, &submission.id).await
     }
 }
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -15,7 +15,7 @@
 use firweir::process::clock::Clock;
 use firweir::process::log::Journal;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::drafting::Drafting;
 use crate::store::Created;
@@ -93,7 +93,7 @@
     async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
         let name = record_name(&self.submission.id, self.submission.saved_record_count());
         let until = self.clock.now() + WRITE_TIMEOUT;
-        let kind = Kind::UnfinishedTexts;
+        let kind = ObjectKind::UnfinishedTexts;
         let creating = self.store.create(kind, &name, record, &record.write, until);
         creating.await
     }
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -18,8 +18,8 @@
 use crate::dialect::Dialect;
 use crate::dialect::DutyAnswer;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::dialect::UsageReport;
 use crate::follow::list;
@@ -149,7 +149,7 @@
     /// Finds out what earlier holders have reported.
     async fn begin(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
-        let (objects, _) = list(&parts.store, Kind::UsageReports, Freshness::Newest).await?;
+        let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
         parts.counting.fetch_copies().await;
         let mut fixed: Vec<Fixed> = objects
             .iter()
@@ -200,7 +200,10 @@
         }
         while progress.oldest.0 + REPORTS_KEPT < progress.next.0 {
             let name = name_of(progress.oldest);
-            self.parts.store.remove(Kind::UsageReports, &name).await?;
+            self.parts
+                .store
+                .remove(ObjectKind::UsageReports, &name)
+                .await?;
             progress.oldest = progress.oldest.next();
         }
         Ok(())
@@ -225,7 +228,7 @@
             window,
             counts,
         };
-        let (kind, name) = (Kind::UsageReports, name_of(window));
+        let (kind, name) = (ObjectKind::UsageReports, name_of(window));
         let until = self.parts.clock.now() + FIX_FOR;
         match store
             .create(kind, &name, &fixed, &fixed.write, until)
@@ -243,7 +246,7 @@
         let fixed = serde_json::from_str(object.value.get());
         if let Err(error) = &fixed {
             let store = &self.parts.store;
-            store.note_unreadable(Kind::UsageReports, &object.name, error);
+            store.note_unreadable(ObjectKind::UsageReports, &object.name, error);
         }
         fixed.ok()
     }
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use firweir_node::dialect::Kind;
+use firweir_node::dialect::ObjectKind;
 use firweir_node::dialect::StoreError;
 use firweir_node::outage::Outage;
 use http::StatusCode;
 use tokio::time::Instant;
 
-const KINDS: [Kind; 4] = [
-    Kind::Configuration,
-    Kind::Upstreams,
-    Kind::WeightVersions,
-    Kind::Duties,
+const KINDS: [ObjectKind; 4] = [
+    ObjectKind::Configuration,
+    ObjectKind::Upstreams,
+    ObjectKind::WeightVersions,
+    ObjectKind::Duties,
 ];
 
 /// The store turns a node away for 5 s. Each of the node's four followers asked again
@@ -78,7 +78,7 @@
     ];
     for case in cases {
         let outage = Outage::default();
-        outage.failed(Kind::Upstreams, &case.error);
+        outage.failed(ObjectKind::Upstreams, &case.error);
         assert_eq!(outage.is_on(), case.is_on, "{}", case.name);
         outage.answered();
         assert!(!outage.is_on(), "{}", case.name);
