--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -39,8 +39,8 @@
 use crate::holder::DUTY_HOLDER_PATH;
 use crate::holder::DutyHolder;
 use crate::live::Live;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::model::Config;
 use crate::model::Route;
 use crate::model::RouteKind;
@@ -115,7 +115,7 @@
     pub(crate) settings: InForce,
     pub(crate) journal: Journal,
     pub(crate) tasks: Tasks,
-    pub(crate) off: Off,
+    pub(crate) mechanisms: EnabledMechanisms,
 }
 
 impl Door {
@@ -390,7 +390,7 @@
     /// After a loss of power clients reach nodes that have not read it yet, since the balancer
     /// goes on with all nodes where none is ready. Refused, they would come back too late.
     async fn first_config(&self, patience: Option<Duration>) -> Option<Arc<Config>> {
-        if !self.off.leaves(Mechanism::FirstConfig) {
+        if !self.mechanisms.is_enabled(Mechanism::FirstConfig) {
             let config = self.fleet.config();
             return (config.version > 0).then_some(config);
         }
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -87,7 +87,7 @@
 
     /// Adds all items of a submission that have no result yet.
     pub fn add(&self, submission: &Arc<LocalSubmission>) {
-        let long_first = self.shared.off.leaves(Mechanism::LongFirst);
+        let long_first = self.shared.mechanisms.is_enabled(Mechanism::LongFirst);
         let groups = group_indices(submission);
         let ranks = initial_ranks(submission, &groups, long_first);
         let mut state = self.lock();
@@ -292,7 +292,7 @@
         }
         let state = &mut *state;
         let leave = state.placement.moves_from(now, &state.leaving);
-        let moves = if self.shared.off.leaves(Mechanism::Moves) {
+        let moves = if self.shared.mechanisms.is_enabled(Mechanism::Moves) {
             state.placement.moves_with_reasons(now)
         } else {
             Vec::new()
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -117,14 +117,15 @@
     /// Answers nothing before the fleet knows a configuration.
     #[must_use]
     pub fn new(shared: Shared, node: &str, zone: String) -> Arc<Self> {
-        let dispatcher: fn() -> Box<dyn Dispatcher> = if shared.off.leaves(Mechanism::Outliers) {
-            balanced
-        } else {
-            without_outlier_ejection
-        };
+        let dispatcher: fn() -> Box<dyn Dispatcher> =
+            if shared.mechanisms.is_enabled(Mechanism::Outliers) {
+                balanced
+            } else {
+                without_outlier_ejection
+            };
         let affinity = xxh3_64(node.as_bytes());
         let gates = Gates::new(Arc::clone(&shared.clock), zone, dispatcher);
-        let gates = if shared.off.leaves(Mechanism::SharedService) {
+        let gates = if shared.mechanisms.is_enabled(Mechanism::SharedService) {
             gates.sharing(affinity)
         } else {
             gates
@@ -225,7 +226,7 @@
         let service = call.service;
         let gate = self.gates.of(service);
         gate.count_offered();
-        let prefix = if self.shared.off.leaves(Mechanism::CallAffinity) {
+        let prefix = if self.shared.mechanisms.is_enabled(Mechanism::CallAffinity) {
             self.affinity
         } else {
             xxh3_64(call.routed.request_id.as_bytes())
--- a/crates/node/src/mechanisms.rs
+++ b/crates/node/src/mechanisms.rs
@@ -49,20 +49,25 @@
     Scaling,
 }
 
-/// The mechanisms that are off; none by default. Cheap to copy.
+/// The mechanisms that are switched on; all by default. Stored as one bit for each
+/// that is switched off. Cheap to copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Off(u32);
+pub struct EnabledMechanisms(u32);
 
-impl Off {
-    /// These are off.
+impl EnabledMechanisms {
+    /// All mechanisms but these.
     #[must_use]
-    pub fn of(mechanisms: &[Mechanism]) -> Self {
-        Self(mechanisms.iter().fold(0, |off, held| off | bit(*held)))
+    pub fn all_except(mechanisms: &[Mechanism]) -> Self {
+        Self(
+            mechanisms
+                .iter()
+                .fold(0, |off, mechanism| off | bit(*mechanism)),
+        )
     }
 
-    /// Whether a mechanism works.
+    /// Whether a mechanism is switched on.
     #[must_use]
-    pub const fn leaves(self, mechanism: Mechanism) -> bool {
+    pub const fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.0 & bit(mechanism) == 0
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,8 +43,8 @@
 use crate::holder::DutyHolder;
 use crate::holder::DutyHolderParts;
 use crate::live::Live;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::outage::Outage;
 use crate::relay::Relay;
 use crate::relay::max_age_for;
@@ -131,7 +131,7 @@
     sources: Sources,
     net: SharedNet,
     pub(crate) tasks: Tasks,
-    off: Off,
+    mechanisms: EnabledMechanisms,
 }
 
 impl Base {
@@ -166,13 +166,13 @@
             boot_clock: Arc::new(SystemBootClock),
             journal: journal.clone(),
         };
-        let off = Off::of(&settings.mechanisms_off);
+        let mechanisms = EnabledMechanisms::all_except(&settings.mechanisms_off);
         if !settings.mechanisms_off.is_empty() {
             let names = format_args!("{:?}", settings.mechanisms_off);
             journal.event("mechanisms_off", &[("names", &names)]);
         }
         let base = Self {
-            off,
+            mechanisms,
             exposition,
             sources,
             detour,
@@ -245,7 +245,8 @@
 /// Nodes through which calls of the store may go: the seeds without this node.
 fn detour_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
     let own = settings.peer_listen;
-    let is_on = Off::of(&settings.mechanisms_off).leaves(Mechanism::Detour);
+    let is_on =
+        EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Detour);
     let seeds = settings.seeds.iter().copied().filter(|_| is_on);
     seeds
         .filter(|seed| own.is_some_and(|own| own != *seed))
@@ -255,7 +256,8 @@
 /// Where this node follows the store: from seeds only where upstreams that leave may
 /// get requests for as long as a dead seed goes unnoticed.
 fn seeds_now(settings: &NodeSettings) -> SeedsNow {
-    let is_on = Off::of(&settings.mechanisms_off).leaves(Mechanism::Seeds);
+    let is_on =
+        EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Seeds);
     let relayed = is_on && settings.leaving() >= RELAY_FROM;
     let own = settings.peer_listen;
     let is_seed = own.is_some_and(|own| settings.seeds.contains(&own));
@@ -362,7 +364,7 @@
         boot_clock: Arc::clone(&base.sources.boot_clock),
         settings: base.in_force.clone(),
         journal: journal.clone(),
-        off: base.off,
+        mechanisms: base.mechanisms,
     };
     let live = Live::new(
         shared.clone(),
@@ -395,7 +397,7 @@
         home_finder: home_finder.clone(),
         outage: base.sources.outage.clone(),
         settings: base.in_force.clone(),
-        off: base.off,
+        mechanisms: base.mechanisms,
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&base.sources.boot_clock),
         journal: journal.clone(),
@@ -422,7 +424,7 @@
         journal: journal.clone(),
     });
     base.tasks.spawn(reporter.run());
-    if base.off.leaves(Mechanism::Scaling) && base.settings.scaling().is_some() {
+    if base.mechanisms.is_enabled(Mechanism::Scaling) && base.settings.scaling().is_some() {
         let scaler = Scaler::new(ScalerParts {
             holder: holder.clone(),
             fleet: Arc::clone(&fleet),
@@ -442,7 +444,7 @@
         connections: base.connections.clone(),
         dialect: Arc::clone(dialect),
         clock: Arc::clone(clock),
-        off: base.off,
+        mechanisms: base.mechanisms,
         journal: journal.clone(),
     });
     base.tasks.spawn(weights.run());
@@ -474,7 +476,7 @@
         settings: base.in_force.clone(),
         journal: journal.clone(),
         tasks: base.tasks.clone(),
-        off: base.off,
+        mechanisms: base.mechanisms,
     })
 }
 
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -25,9 +25,10 @@
     /// Takes the rules from the configuration in force when the call arrives.
     pub fn for_call(shared: &Shared, service: &str, account: Option<&str>, route: &Route) -> Self {
         let config = shared.fleet.config();
-        let is_shared = shared.off.leaves(Mechanism::SharedService) && config.shares_services();
+        let is_shared =
+            shared.mechanisms.is_enabled(Mechanism::SharedService) && config.shares_services();
         let has_priorities =
-            shared.off.leaves(Mechanism::Priorities) && config.has_priorities(service);
+            shared.mechanisms.is_enabled(Mechanism::Priorities) && config.has_priorities(service);
         let by_priority = is_shared && has_priorities;
         Self {
             is_shared,
--- a/crates/node/src/sample_order.rs
+++ b/crates/node/src/sample_order.rs
@@ -64,7 +64,7 @@
 impl Drafting {
     /// Enables or disables the order by slack according to the current engines.
     pub(crate) fn update_slack_order(&self, state: &mut State, snapshot: &FleetSnapshot) {
-        let is_on = self.shared.off.leaves(Mechanism::StepSlack);
+        let is_on = self.shared.mechanisms.is_enabled(Mechanism::StepSlack);
         let by_slack = is_on && serves_several_models(&snapshot.config, &snapshot.upstreams);
         if state.is_by_slack == by_slack {
             return;
--- a/crates/node/src/scaling/drain.rs
+++ b/crates/node/src/scaling/drain.rs
@@ -10,7 +10,8 @@
 /// Leaving upstreams of autoscaled services; none where nodes do not order upstreams.
 #[must_use]
 pub fn leaving_engines(shared: &Shared) -> Vec<Arc<Upstream>> {
-    let is_on = shared.off.leaves(Mechanism::Scaling) && shared.settings.now().scaling().is_some();
+    let is_on = shared.mechanisms.is_enabled(Mechanism::Scaling)
+        && shared.settings.now().scaling().is_some();
     if !is_on {
         return Vec::new();
     }
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -95,7 +95,7 @@
     /// Knows no upstream before [`Scoring::update_upstreams`].
     #[must_use]
     pub fn new(shared: Shared, zone: String) -> Self {
-        let is_paced = shared.off.leaves(Mechanism::PacedRewards);
+        let is_paced = shared.mechanisms.is_enabled(Mechanism::PacedRewards);
         let dispatcher = if is_paced { background } else { unpaced };
         let gates = Gates::new(Arc::clone(&shared.clock), zone, dispatcher);
         Self {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -11,8 +11,8 @@
 use crate::duty::BootClock;
 use crate::fleet::Fleet;
 use crate::interest::Interest;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::reload::InForce;
 use crate::usage::counting::Counting;
 
@@ -37,8 +37,8 @@
     pub journal: Journal,
     /// Counts requests of accounts.
     pub counting: Counting,
-    /// Mechanisms that are switched off.
-    pub off: Off,
+    /// Mechanisms that are switched on.
+    pub mechanisms: EnabledMechanisms,
 }
 
 impl Shared {
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn usable_load(&self, load: Option<ReportedLoad>) -> Option<ReportedLoad> {
         let mut load = load?;
-        if !self.off.leaves(Mechanism::ToldSpeed) {
+        if !self.mechanisms.is_enabled(Mechanism::ToldSpeed) {
             load.time_percent = None;
         }
         Some(load)
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -69,7 +69,7 @@
         if self.is_known(&submission.id) {
             return empty(StatusCode::ACCEPTED);
         }
-        if !self.shared.off.leaves(Mechanism::Homes) {
+        if !self.shared.mechanisms.is_enabled(Mechanism::Homes) {
             return self.accept_here(posted, submission, draining, false).await;
         }
         let model = submission.model.clone();
@@ -116,7 +116,7 @@
         let samples = submission.items.len() as u32;
         let answer = self.accept(posted, submission).await;
         let is_home = self.shared.homes.get(&model).as_ref() == Some(&self.shared.this_node);
-        let has_homes = self.shared.off.leaves(Mechanism::Homes);
+        let has_homes = self.shared.mechanisms.is_enabled(Mechanism::Homes);
         if answer.status() == StatusCode::ACCEPTED && !is_home && has_homes {
             self.assign_home(&model, self.shared.this_node.clone(), samples);
         }
@@ -143,7 +143,7 @@
             .connections
             .call(home.address, request, HOME_TIMEOUT);
         let runners = &self.shared.runners;
-        let answer = if self.shared.off.leaves(Mechanism::HomePing) {
+        let answer = if self.shared.mechanisms.is_enabled(Mechanism::HomePing) {
             runners.call_while_alive(home.address, call).await
         } else {
             Some(call.await)
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -33,8 +33,8 @@
 use crate::drafting::Drafting;
 use crate::duty::BootClock;
 use crate::follow::list;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::model::ItemResult;
 use crate::outage::Outage;
 use crate::reload::InForce;
@@ -128,7 +128,7 @@
     pub(in crate::submission) home_finder: HomeFinder,
     pub(in crate::submission) heads: Heads,
     pub(in crate::submission) settings: InForce,
-    pub(in crate::submission) off: Off,
+    pub(in crate::submission) mechanisms: EnabledMechanisms,
     pub(in crate::submission) clock: Arc<dyn Clock>,
     pub(in crate::submission) boot_clock: Arc<dyn BootClock>,
     pub(in crate::submission) journal: Journal,
@@ -162,8 +162,8 @@
     pub outage: Outage,
     /// Settings, such as how long results stay readable.
     pub settings: InForce,
-    /// Mechanisms that are switched off.
-    pub off: Off,
+    /// Mechanisms that are switched on.
+    pub mechanisms: EnabledMechanisms,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that includes suspended time.
@@ -193,7 +193,7 @@
             home_finder: parts.home_finder,
             outage: parts.outage,
             settings: parts.settings,
-            off: parts.off,
+            mechanisms: parts.mechanisms,
             clock: parts.clock,
             boot_clock: parts.boot_clock,
             journal: parts.journal,
@@ -400,7 +400,7 @@
         after: usize,
         wait: Duration,
     ) -> Vec<ItemResult> {
-        if !self.shared.off.leaves(Mechanism::HeldAnswers) {
+        if !self.shared.mechanisms.is_enabled(Mechanism::HeldAnswers) {
             return submission.results(after, wait).await;
         }
         let due = self.shared.drafting.due_age(&submission.head);
@@ -505,11 +505,11 @@
                 clock: Arc::clone(&clock),
                 journal: journal.clone(),
             };
-            if self.shared.off.leaves(Mechanism::SavedTexts) {
+            if self.shared.mechanisms.is_enabled(Mechanism::SavedTexts) {
                 drop(tokio::spawn(saver.run()));
             }
             let due = self.shared.drafting.due_age(&submission.head);
-            let paced = self.shared.off.leaves(Mechanism::PacedListing);
+            let paced = self.shared.mechanisms.is_enabled(Mechanism::PacedListing);
             drop(tokio::spawn(
                 submission.write_log(store, clock, journal, due, paced),
             ));
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -31,8 +31,8 @@
 use crate::fleet::Fleet;
 use crate::holder::DutyHolder;
 use crate::interest::Interest;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::model::Instance;
 use crate::model::ModelVersion;
 use crate::model::Upstream;
@@ -106,8 +106,8 @@
     pub dialect: Arc<dyn Dialect>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Mechanisms that are switched off.
-    pub off: Off,
+    /// Mechanisms that are switched on.
+    pub mechanisms: EnabledMechanisms,
     /// Events.
     pub journal: Journal,
 }
@@ -296,7 +296,7 @@
         let routes = &fleet.config().routes;
         let keep_running = !routes.iter().any(|route| route.single_version);
         let at_once = self.loads_at_once(model_shares.engines);
-        let next = if self.shared.parts.off.leaves(Mechanism::TwoSets) {
+        let next = if self.shared.parts.mechanisms.is_enabled(Mechanism::TwoSets) {
             next_loads(&weighed, at_once, &model_shares)
         } else {
             next_loads_on_all_engines(&weighed, at_once)
@@ -316,7 +316,12 @@
 
     fn loads_at_once(&self, engines: usize) -> usize {
         let most = max_concurrent_loads(engines);
-        if self.shared.parts.off.leaves(Mechanism::LoadLimit) {
+        if self
+            .shared
+            .parts
+            .mechanisms
+            .is_enabled(Mechanism::LoadLimit)
+        {
             self.lock().limit.max_concurrent(most)
         } else {
             most
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,7 +1,7 @@
 //! What a settings file may say.
 
+use firweir_node::mechanisms::EnabledMechanisms;
 use firweir_node::mechanisms::Mechanism;
-use firweir_node::mechanisms::Off;
 use firweir_node::settings::NodeSettings;
 use firweir_node::settings::SettingsError;
 
@@ -26,10 +26,10 @@
 #[test]
 fn mechanisms_are_switched_off_by_name() {
     let settings = load("known", r#"["moves", "two-sets"]"#).expect("both are known");
-    let off = Off::of(&settings.mechanisms_off);
-    assert!(!off.leaves(Mechanism::Moves));
-    assert!(!off.leaves(Mechanism::TwoSets));
-    assert!(off.leaves(Mechanism::Homes));
+    let mechanisms = EnabledMechanisms::all_except(&settings.mechanisms_off);
+    assert!(!mechanisms.is_enabled(Mechanism::Moves));
+    assert!(!mechanisms.is_enabled(Mechanism::TwoSets));
+    assert!(mechanisms.is_enabled(Mechanism::Homes));
 }
 
 #[test]
