--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -1,4 +1,5 @@
-//! The engines of rollouts as every node sees them, and the models that each serves.
+//! The engines that serve rollouts, and the models assigned to each, in the same way on every
+//! node.
 
 use std::sync::Arc;
 
@@ -19,41 +20,41 @@
 use crate::model::Upstream;
 use crate::relay::hash_of_name;
 
-/// An engine that takes new samples.
+/// An engine that accepts new samples.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// The engine.
     pub upstream: Arc<Upstream>,
-    /// The models that it is to serve, its own one first.
+    /// The models assigned to it, its own model first.
     pub models: Vec<Arc<str>>,
 }
 
-/// Engines that are to serve a model, and how all of them are divided.
+/// Engines that serve rollouts, and how they are divided among the models.
 #[derive(Debug, Default)]
 pub struct Engines {
-    /// Sorted by instance, without those that leave.
+    /// Sorted by instance, without those that will be removed soon.
     pub serving: Vec<Engine>,
-    /// The division.
+    /// How many engines each model needs.
     pub model_shares: ModelShares,
 }
 
-/// A model as far as it takes engines.
+/// A model that engines hold.
 #[derive(Debug)]
 struct Model {
     name: Arc<str>,
     hash: u64,
-    /// Newest version that was named.
-    named: Option<u64>,
-    /// Part of all engines that is looked at for it.
+    /// Latest published version.
+    latest_version: Option<u64>,
+    /// Slice of all engines from which those for the model are selected.
     slice: FleetSlice,
 }
 
-/// Engines of the services that rollouts go to.
+/// Engines of the services to which rollout routes lead, with the models assigned to them.
 #[must_use]
 pub fn rollout_engines(fleet: &Fleet) -> Engines {
-    let engines = candidates(fleet);
+    let engines = candidate_engines(fleet);
     let slots = engines.iter().map(|engine| engine.slots).min();
-    // A node that drafts may know a part of them only.
+    // A node that drafts may know only some of them.
     let total = engines.len().max(fleet.listed());
     let mut models = models_of(&engines, &fleet.named());
     let needs = needs_of(&models, slots.unwrap_or(1), fleet.demands());
@@ -65,16 +66,17 @@
         models: models.len(),
         needs,
     };
-    let assigned = assign_models(&model_shares, &lags(&engines, &models));
+    let assigned = assign_models(&model_shares, &version_lags(&engines, &models));
     let name_of = |model: ModelKey| Arc::clone(&models[model.0 as usize].name);
-    // Where all are looked at, those that no model takes have room for the samples of any.
-    let all = models
+    // If every slice is the full fleet, engines without a model also serve, for samples of any
+    // model.
+    let is_unsliced = models
         .iter()
         .all(|model| model.slice == FleetSlice::default());
     let serving = engines
         .into_iter()
         .zip(assigned)
-        .filter(|(_, own)| all || !own.is_empty());
+        .filter(|(_, own)| is_unsliced || !own.is_empty());
     let with_models = |(upstream, own): (Arc<Upstream>, Vec<ModelKey>)| Engine {
         upstream,
         models: own.into_iter().map(name_of).collect(),
@@ -85,8 +87,8 @@
     }
 }
 
-/// Engines that do not leave, of the services that rollouts go to.
-fn candidates(fleet: &Fleet) -> Vec<Arc<Upstream>> {
+/// Engines that stay, of the services to which rollout routes lead.
+fn candidate_engines(fleet: &Fleet) -> Vec<Arc<Upstream>> {
     let (config, upstreams) = (fleet.config(), fleet.upstreams());
     let rollouts = config
         .routes
@@ -104,16 +106,16 @@
     candidates.map(Arc::clone).collect()
 }
 
-/// All models, sorted by name. All engines of a service mostly have the same ones, so each
-/// engine is first compared with the one before.
+/// All models that engines hold, sorted by name. Most engines of a service hold the same
+/// models, so each engine is first compared with the previous one.
 fn models_of(engines: &[Arc<Upstream>], named: &[ModelVersion]) -> Vec<Model> {
     let mut held_names: Vec<&str> = Vec::new();
-    let mut before: &[ModelVersion] = &[];
+    let mut previous: &[ModelVersion] = &[];
     for engine in engines {
         let held = engine.models.iter().map(|held| &held.model);
-        if !held.eq(before.iter().map(|held| &held.model)) {
+        if !held.eq(previous.iter().map(|held| &held.model)) {
             held_names.extend(engine.models.iter().map(|held| held.model.as_str()));
-            before = &engine.models;
+            previous = &engine.models;
         }
     }
     held_names.sort_unstable();
@@ -123,14 +125,14 @@
         Model {
             name: Arc::from(name),
             hash: hash_of_name(name),
-            named: newest.ok().map(|at| named[at].version),
+            latest_version: newest.ok().map(|at| named[at].version),
             slice: FleetSlice::default(),
         }
     };
     held_names.into_iter().map(model).collect()
 }
 
-/// What the models need whose homes have told.
+/// Engines that each model needs, for models whose home has reported the samples of a step.
 fn needs_of(models: &[Model], slots: u32, demands: &ModelDemands) -> Vec<EngineNeed> {
     let needs = models.iter().enumerate().filter_map(|(at, model)| {
         let samples = demands.samples_of(&model.name)?;
@@ -142,8 +144,8 @@
     needs.collect()
 }
 
-/// How far engines are behind the models in whose slices they are.
-fn lags(engines: &[Arc<Upstream>], models: &[Model]) -> Vec<VersionLag> {
+/// How many versions engines are behind the latest one, for each model whose slice they are in.
+fn version_lags(engines: &[Arc<Upstream>], models: &[Model]) -> Vec<VersionLag> {
     let mut lags = Vec::new();
     for (at, engine) in engines.iter().enumerate() {
         let hash = hash_of_name(&engine.instance.id);
@@ -159,7 +161,9 @@
                 engine: at,
                 model: ModelKey(key as u32),
                 order,
-                versions_behind: model.named.map_or(0, |named| named.saturating_sub(version)),
+                versions_behind: model
+                    .latest_version
+                    .map_or(0, |latest| latest.saturating_sub(version)),
             });
         }
     }
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -1,5 +1,5 @@
-//! Scores of whole texts: one call of a plain service for each, through the routes that
-//! callers use, sent again elsewhere until it has an answer.
+//! Scores of complete texts: one call of a reward service for each, through the routes that
+//! callers use, retried on other upstreams until it has an answer.
 //!
 //! When a call starts, and where, is decided by [`BackgroundDispatcher`], so that the calls of a
 //! step do not crowd out callers of the same service.
@@ -35,44 +35,44 @@
 use crate::shared::Shared;
 use crate::submission::local::LocalSubmission;
 
-/// Pause before a call that did not run, or broke off, is sent again: a full service
-/// frees a place in a tenth of a second, and a restart takes seconds.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Delay before the retry of a call that did not run or broke off: a full service has a free
+/// slot within a tenth of a second, and a restart takes seconds.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Pause before a call is looked at again that no route leads anywhere: a configuration
-/// is in force within seconds.
-const NO_ROUTE_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before the retry of a call without a route, or one that cannot be sent: a new
+/// configuration takes effect within seconds.
+const NO_ROUTE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A call that is past its due time asks for a place with this much time left, which
-/// makes it the most urgent one.
-const LATE_ASK: Duration = Duration::from_secs(1);
+/// Time left that a call past its due time claims when it asks for a slot; makes it the most
+/// urgent one.
+const OVERDUE_TIME_LEFT: Duration = Duration::from_secs(1);
 
-/// An answer to a reward call larger than this is broken: its proof is in its head.
-const ANSWER_LIMIT_BYTES: usize = 1 << 20;
+/// Largest body of an answer to a reward call; the proof is in the head.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// How scoring a text ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ScoreOutcome {
-    /// It has a score.
+    /// The text has a score.
     Score(Score),
-    /// The item is given up, for this reason.
+    /// The item is abandoned for this reason.
     Abandoned(&'static str),
 }
 
 /// How one attempt of a reward call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Attempt {
-    /// A success, with this proof of origin.
+    /// The call succeeded; the value is its proof of origin.
     Answered(String),
-    /// The upstream says that the call failed.
+    /// The upstream reports that the call failed.
     Failed,
-    /// It did not run.
+    /// The call did not run.
     NotRun(&'static str),
-    /// It may have run, and no usable answer came.
+    /// The call may have run, and there is no usable answer.
     Broken(&'static str),
-    /// No route leads to a service.
+    /// There is no route for the call.
     NoRoute,
-    /// The call can never be sent.
+    /// No request can be made of the call.
     Unusable,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Scoring {
-    /// Knows no upstream before [`Scoring::update_upstreams`].
+    /// Creates it without upstreams; they are set by [`Scoring::update_upstreams`].
     #[must_use]
     pub fn new(shared: Shared, zone: String) -> Self {
         let is_paced = shared.mechanisms.is_enabled(Mechanism::PacedRewards);
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Brings the gates up to what the fleet knows.
+    /// Updates the upstreams of the gates from the fleet.
     pub fn update_upstreams(&self) {
         self.gates.take_fleet(&self.shared.fleet);
     }
 
-    /// Lets time-bound decisions happen.
+    /// Runs decisions that depend on the time.
     pub fn tick(&self) {
         self.gates.tick();
     }
 
-    /// Scores an item's whole text. Dropping the future ends its call.
+    /// Scores an item's complete text. Dropping the future cancels its call.
     pub async fn score(
         &self,
         submission: &LocalSubmission,
@@ -124,7 +124,7 @@
         let mut avoid = Vec::new();
         let mut failures = 0;
         loop {
-            if let Some(reason) = self.is_over(submission) {
+            if let Some(reason) = self.abandon_reason(submission) {
                 return ScoreOutcome::Abandoned(reason);
             }
             let attempt = self.attempt(submission, call, &mut avoid).await;
@@ -132,44 +132,44 @@
                 let call = call.clone();
                 return ScoreOutcome::Score(Score { call, proof });
             }
-            self.note(submission, item, call, &attempt);
-            let pause = match attempt {
+            self.log_failure(submission, item, call, &attempt);
+            let delay = match attempt {
                 Attempt::Failed => {
                     failures += 1;
-                    if failures >= self.most_failures(submission, call) {
+                    if failures >= self.max_failures(submission, call) {
                         return ScoreOutcome::Abandoned("score-failed");
                     }
                     Duration::ZERO
                 }
-                Attempt::NoRoute | Attempt::Unusable => NO_ROUTE_PAUSE,
-                Attempt::NotRun(_) | Attempt::Broken(_) | Attempt::Answered(_) => AGAIN_AFTER,
+                Attempt::NoRoute | Attempt::Unusable => NO_ROUTE_RETRY_DELAY,
+                Attempt::NotRun(_) | Attempt::Broken(_) | Attempt::Answered(_) => RETRY_DELAY,
             };
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    /// Why the submission's items may be given up, if they may.
-    fn is_over(&self, submission: &LocalSubmission) -> Option<&'static str> {
+    /// Reason for which the submission's items are to be abandoned; `None` if they are not.
+    fn abandon_reason(&self, submission: &LocalSubmission) -> Option<&'static str> {
         let config = self.shared.fleet.config();
         match config.route(&submission.head.host, &submission.head.path) {
             Some(route) if self.shared.clock.now() < submission.expires_at(route) => None,
             Some(_) => Some("score-expired"),
-            // Without a configuration nothing is known of routes: a node that starts reads
-            // its submissions first.
+            // Without a configuration no routes are known: a node that starts reads its
+            // submissions first.
             None if config.version == 0 => None,
             None => Some("route-gone"),
         }
     }
 
-    /// Failures that end the item: the calls of both its routes have a limit, and the
-    /// larger one is safe under either.
-    fn most_failures(&self, submission: &LocalSubmission, call: &RewardCall) -> u32 {
+    /// Number of failures after which the item is abandoned: the larger of the limits of the
+    /// item's route and the call's route, so that it is never abandoned before either is reached.
+    fn max_failures(&self, submission: &LocalSubmission, call: &RewardCall) -> u32 {
         let config = self.shared.fleet.config();
         let of_item = config.route(&submission.head.host, &submission.head.path);
         let of_call = config.route(&call.host, &call.path);
         let limits = [of_item, of_call].into_iter().flatten();
-        let most = limits.map(|route| route.max_attempts).max();
-        most.unwrap_or(u32::MAX).max(1)
+        let max_attempts = limits.map(|route| route.max_attempts).max();
+        max_attempts.unwrap_or(u32::MAX).max(1)
     }
 
     async fn attempt(
@@ -186,7 +186,7 @@
         let ask = self.ask(submission, avoid);
         let permit = match self.gates.of(service).admit(ask).await {
             Ok(permit) => permit,
-            Err(turned) => return Attempt::NotRun(turned.reason.as_str()),
+            Err(refused) => return Attempt::NotRun(refused.reason.as_str()),
         };
         let upstream = self.shared.fleet.upstream_at(service, permit.address());
         let Some(upstream) = upstream else {
@@ -210,7 +210,7 @@
             prefix: 0,
             cost_tokens: 1,
             priority: 0,
-            deadline: due.max(now + LATE_ASK),
+            deadline: due.max(now + OVERDUE_TIME_LEFT),
             objective: None,
             avoid: avoid.to_vec(),
         }
@@ -247,7 +247,7 @@
             Ok(self.read(call, exchange).await)
         };
         let exchanged = within(patience, exchanging).await;
-        let (attempt, ending, told) = match exchanged.unwrap_or(Err(CallError::Late)) {
+        let (attempt, ending, reported_load) = match exchanged.unwrap_or(Err(CallError::Late)) {
             Ok(read) => read,
             Err(CallError::Refused | CallError::NotSent) => {
                 (Attempt::NotRun("not-sent"), Ending::Unreachable, None)
@@ -255,43 +255,47 @@
             Err(CallError::Broken) => (Attempt::Broken("no-answer"), Ending::Failed, None),
             Err(CallError::Late) => (Attempt::Broken("late"), Ending::Failed, None),
         };
-        permit.finish_told(ending, told);
+        permit.finish_told(ending, reported_load);
         attempt
     }
 
-    /// Reads an answer to its end: how the attempt ended, what that says of the upstream,
-    /// and the load that it told of.
+    /// Reads an answer to its end; returns how the attempt ended, the ending for the gate's record
+    /// of the upstream, and the load that the upstream reported.
     async fn read(
         &self,
         call: &RewardCall,
         exchange: StreamingResponse,
     ) -> (Attempt, Ending, Option<ReportedLoad>) {
         let (head, body) = exchange.answer.into_parts();
-        let said = self.shared.dialect.answer_head(&head);
-        let whole = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
-        let is_whole = whole.is_ok();
-        if said.not_run {
-            if is_whole {
+        let reported = self.shared.dialect.answer_head(&head);
+        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let is_complete = body.is_ok();
+        if reported.not_run {
+            if is_complete {
                 exchange.connection.return_to_pool();
             }
-            return (Attempt::NotRun("upstream"), Ending::Abandoned, said.load);
+            return (
+                Attempt::NotRun("upstream"),
+                Ending::Abandoned,
+                reported.load,
+            );
         }
-        let own = said.request_id.as_deref() == Some(call.id.as_str());
-        let Some(proof) = said.proof.filter(|_| own && is_whole) else {
-            return (Attempt::Broken("answer"), Ending::Failed, said.load);
+        let is_own = reported.request_id.as_deref() == Some(call.id.as_str());
+        let Some(proof) = reported.proof.filter(|_| is_own && is_complete) else {
+            return (Attempt::Broken("answer"), Ending::Failed, reported.load);
         };
         exchange.connection.return_to_pool();
         match head.status {
             status if status.is_success() => {
-                (Attempt::Answered(proof), Ending::Answered, said.load)
+                (Attempt::Answered(proof), Ending::Answered, reported.load)
             }
-            // The call's own fault: some always fail, at any upstream.
-            StatusCode::INTERNAL_SERVER_ERROR => (Attempt::Failed, Ending::Answered, said.load),
-            _ => (Attempt::Broken("status"), Ending::Failed, said.load),
+            // The call itself fails, as some do on every upstream; the upstream is healthy.
+            StatusCode::INTERNAL_SERVER_ERROR => (Attempt::Failed, Ending::Answered, reported.load),
+            _ => (Attempt::Broken("status"), Ending::Failed, reported.load),
         }
     }
 
-    fn note(
+    fn log_failure(
         &self,
         submission: &LocalSubmission,
         item: &Item,
