--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -281,7 +281,7 @@
         } else {
             &[]
         };
-        self.shared.interest.take_drafting(now, models);
+        self.shared.interest.set_drafted_models(now, models);
         if drafts {
             self.update_engines(&mut state);
         }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -23,7 +23,7 @@
 use crate::dialect::StoreError;
 use crate::duty::BootClock;
 use crate::interest::Interest;
-use crate::interest::Wanted;
+use crate::interest::Subscription;
 use crate::outage::Outage;
 use crate::relay::Relay;
 use crate::relay::RoutingDigest;
@@ -197,7 +197,7 @@
     /// Seed to ask next.
     pub(crate) next_seed: usize,
     /// What is followed of upstreams.
-    pub(crate) wanted: Wanted,
+    pub(crate) subscription: Subscription,
     /// Fleet size as a seed last reported it; `None` before the first answer.
     pub(crate) fleet_size: Option<FleetSize>,
     /// Whether any seed answered in the last round of questions, even with outdated data.
@@ -227,9 +227,9 @@
     mut take: impl FnMut(News),
 ) {
     let next_seed = rand::rng().random_range(0..sources.seeds.now().asked.len().max(1));
-    let wanted = sources.interest.wanted();
+    let subscription = sources.interest.subscription();
     let mut follower = Follower {
-        wanted,
+        subscription,
         sources,
         kind,
         since: None,
@@ -277,17 +277,17 @@
     /// that ask, and trainers name some every second.
     async fn await_need(&self) {
         if self.kind == ObjectKind::WeightVersions {
-            self.sources.interest.engines_followed().await;
+            self.sources.interest.wait_until_engines_followed().await;
         }
     }
 
     /// A node that wants to know something else than before needs the whole list once.
     /// Tells whether it does.
     pub(crate) fn take_interest(&mut self) -> bool {
-        let wanted = self.sources.interest.wanted();
-        let is_new = self.kind == ObjectKind::Upstreams && wanted != self.wanted;
+        let subscription = self.sources.interest.subscription();
+        let is_new = self.kind == ObjectKind::Upstreams && subscription != self.subscription;
         if is_new {
-            self.wanted = wanted;
+            self.subscription = subscription;
             self.since = None;
         }
         is_new
@@ -309,7 +309,7 @@
                 self.listed = Some(self.sources.clock.now());
                 let extent = Extent {
                     listed: Some(objects.len()),
-                    whole: Some(self.wanted == Wanted::All),
+                    whole: Some(self.subscription == Subscription::All),
                 };
                 objects.retain(|object| self.is_wanted(object));
                 Update {
@@ -343,12 +343,12 @@
     /// Whether this node follows an object that the store shows. A node must not know what it
     /// does not follow: once it asks a seed again it hears no change of that.
     fn is_wanted(&self, object: &Object) -> bool {
-        match &self.wanted {
-            Wanted::Parts(parts) if self.kind == ObjectKind::Upstreams => {
+        match &self.subscription {
+            Subscription::Filtered(filter) if self.kind == ObjectKind::Upstreams => {
                 let routing = self.digest_of(object);
-                routing.is_none_or(|routing| parts.have(routing))
+                routing.is_none_or(|routing| filter.matches(routing))
             }
-            Wanted::Parts(_) | Wanted::All => true,
+            Subscription::Filtered(_) | Subscription::All => true,
         }
     }
 
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -16,7 +16,7 @@
 use crate::follow::Follower;
 use crate::follow::News;
 use crate::follow::Update;
-use crate::interest::Wanted;
+use crate::interest::Subscription;
 use crate::relay::POLL_TIMEOUT;
 use crate::relay::RELAY_PATH;
 use crate::relay::RelayAnswer;
@@ -147,7 +147,7 @@
                     listed: Some(relay_answer.total_objects),
                     whole: relay_answer
                         .is_full_list
-                        .then_some(self.wanted == Wanted::All),
+                        .then_some(self.subscription == Subscription::All),
                 },
                 as_of,
                 changes: relay_answer.into_changes(),
@@ -186,13 +186,15 @@
     }
 
     fn relay_request(&self) -> RelayRequest {
-        let parts = match &self.wanted {
-            Wanted::Parts(parts) if self.kind == ObjectKind::Upstreams => Some(parts.clone()),
-            Wanted::Parts(_) | Wanted::All => None,
+        let filter = match &self.subscription {
+            Subscription::Filtered(filter) if self.kind == ObjectKind::Upstreams => {
+                Some(filter.clone())
+            }
+            Subscription::Filtered(_) | Subscription::All => None,
         };
         RelayRequest {
             since: self.since.unwrap_or(0),
-            parts,
+            filter,
         }
     }
 }
--- a/crates/node/src/interest.rs
+++ b/crates/node/src/interest.rs
@@ -28,16 +28,16 @@
 
 /// What a node wants to know of upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wanted {
+pub enum Subscription {
     /// Every change of every entry.
     All,
     /// Some of the entries.
-    Parts(Parts),
+    Filtered(UpstreamFilter),
 }
 
 /// Some entries of the list of upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct UpstreamFilter {
     /// Services of which it has to be known where their upstreams are, by the hashes of their
     /// names; sorted.
     pub services: Vec<u64>,
@@ -91,39 +91,41 @@
     /// Sorted.
     services: Vec<u64>,
     /// What came of it.
-    wanted: Wanted,
+    subscription: Subscription,
 }
 
-impl Default for Wanted {
+impl Default for Subscription {
     fn default() -> Self {
-        Self::Parts(Parts::default())
+        Self::Filtered(UpstreamFilter::default())
     }
 }
 
 impl Interest {
     /// What is wanted now.
     #[must_use]
-    pub fn wanted(&self) -> Wanted {
-        self.lock().wanted.clone()
+    pub fn subscription(&self) -> Subscription {
+        self.lock().subscription.clone()
     }
 
     /// Whether every change of every entry is wanted.
     #[must_use]
     pub fn wants_all(&self) -> bool {
-        self.lock().wanted == Wanted::All
+        self.lock().subscription == Subscription::All
     }
 
     /// Hashes of the models whose engines are followed; `None` for all.
     #[must_use]
     pub fn models(&self) -> Option<Vec<u64>> {
-        match &self.lock().wanted {
-            Wanted::All => None,
-            Wanted::Parts(parts) => Some(parts.slices.iter().map(|held| held.model).collect()),
+        match &self.lock().subscription {
+            Subscription::All => None,
+            Subscription::Filtered(filter) => {
+                Some(filter.slices.iter().map(|held| held.model).collect())
+            }
         }
     }
 
     /// Live calls may go to the services of this configuration.
-    pub fn take_config(&self, config: &Config) {
+    pub fn set_config(&self, config: &Config) {
         let live = config.routes.iter();
         let live = live.filter(|route| route.kind != RouteKind::Rollout);
         let targets = live.flat_map(|route| &route.targets);
@@ -138,14 +140,14 @@
     }
 
     /// Whether the node follows the store itself, which shows everything.
-    pub fn take_follows_store(&self, follows_store: bool) {
+    pub fn set_follows_store(&self, follows_store: bool) {
         let mut state = self.lock();
         state.follows_store = follows_store;
         self.settle(state);
     }
 
     /// The whole list of upstreams has so many entries.
-    pub fn take_listed(&self, listed: usize) {
+    pub fn set_total_upstreams(&self, listed: usize) {
         let mut state = self.lock();
         state.listed = listed;
         state.choose_slices();
@@ -153,7 +155,7 @@
     }
 
     /// The models that the node drafts now.
-    pub fn take_drafting(&self, now: Instant, models: &[DraftedModel]) {
+    pub fn set_drafted_models(&self, now: Instant, models: &[DraftedModel]) {
         let mut state = self.lock();
         state
             .drafted
@@ -165,7 +167,7 @@
     }
 
     /// Whether the node may order weights now.
-    pub fn take_orders(&self, orders: bool) {
+    pub fn set_may_order_weights(&self, orders: bool) {
         let mut state = self.lock();
         state.orders = orders;
         self.settle(state);
@@ -177,7 +179,7 @@
     }
 
     /// Waits until engines are followed, which only nodes do that draft, order or are seeds.
-    pub async fn engines_followed(&self) {
+    pub async fn wait_until_engines_followed(&self) {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -191,9 +193,9 @@
     }
 
     fn settle(&self, mut state: MutexGuard<'_, State>) {
-        let wanted = state.weigh();
-        if state.wanted != wanted {
-            state.wanted = wanted;
+        let subscription = state.weigh();
+        if state.subscription != subscription {
+            state.subscription = subscription;
             drop(state);
             self.changed.notify_waiters();
         }
@@ -242,16 +244,16 @@
         }
     }
 
-    fn weigh(&self) -> Wanted {
+    fn weigh(&self) -> Subscription {
         let whole = |held: &Drafted| held.slice == FleetSlice::default();
         if self.follows_store || self.orders || self.drafted.iter().any(whole) {
-            return Wanted::All;
+            return Subscription::All;
         }
         let slices = self.drafted.iter().map(|held| ModelSlice {
             model: held.model.model,
             slice: held.slice,
         });
-        Wanted::Parts(Parts {
+        Subscription::Filtered(UpstreamFilter {
             services: self.services.clone(),
             slices: slices.collect(),
         })
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -198,7 +198,7 @@
         let follows_store = seeds.asked.is_empty();
         self.sources.seeds.set(seeds);
         let interest = &self.sources.interest;
-        interest.take_follows_store(follows_store);
+        interest.set_follows_store(follows_store);
     }
 
     pub(crate) fn follow(
@@ -501,7 +501,7 @@
             fleet.take_config(change);
         }
         fleet.hear_of_config(news.as_of);
-        interest.take_config(&fleet.config());
+        interest.set_config(&fleet.config());
         standing.set_takes_steps(!tasks.is_draining());
         live.take_fleet();
         scoring.update_upstreams();
@@ -528,7 +528,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         fleet.take_extent(news.extent);
         if let Some(listed) = news.extent.listed {
-            interest.take_listed(listed);
+            interest.set_total_upstreams(listed);
         }
         let taken = fleet.take_upstreams(&mut list, news.changes);
         for address in taken.restarted {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -37,7 +37,7 @@
 use crate::dialect::Object;
 use crate::dialect::ObjectKind;
 use crate::interest::ModelSlice;
-use crate::interest::Parts;
+use crate::interest::UpstreamFilter;
 use crate::model::Upstream;
 
 /// Path at which a seed answers other nodes.
@@ -188,7 +188,7 @@
     /// Revision up to which the node is up to date.
     pub since: u64,
     /// Entries to report; `None` for all.
-    pub parts: Option<Parts>,
+    pub filter: Option<UpstreamFilter>,
 }
 
 impl RelayRequest {
@@ -197,17 +197,17 @@
     #[must_use]
     pub fn to_query(&self) -> String {
         let since = self.since;
-        let Some(parts) = &self.parts else {
+        let Some(filter) = &self.filter else {
             return since.to_string();
         };
-        let services = parts.services.iter().map(|hash| format!(",{hash:x}"));
+        let services = filter.services.iter().map(|hash| format!(",{hash:x}"));
         let slice = |model_slice: &ModelSlice| {
             format!(
                 ",{:x}:{}",
                 model_slice.model, model_slice.slice.leading_zeros
             )
         };
-        let slices = parts.slices.iter().map(slice);
+        let slices = filter.slices.iter().map(slice);
         format!("{since};{}", services.chain(slices).collect::<String>())
     }
 
@@ -216,32 +216,35 @@
     pub fn from_query(query: &str) -> Option<Self> {
         let Some((since, wanted)) = query.split_once(';') else {
             let since = query.parse().ok()?;
-            return Some(Self { since, parts: None });
+            return Some(Self {
+                since,
+                filter: None,
+            });
         };
-        let mut parts = Parts::default();
+        let mut filter = UpstreamFilter::default();
         for part in wanted.split(',').filter(|part| !part.is_empty()) {
             match part.split_once(':') {
-                Some((model, zeros)) => parts.slices.push(ModelSlice {
+                Some((model, zeros)) => filter.slices.push(ModelSlice {
                     model: u64::from_str_radix(model, 16).ok()?,
                     slice: FleetSlice {
                         leading_zeros: zeros.parse().ok()?,
                     },
                 }),
-                None => parts.services.push(u64::from_str_radix(part, 16).ok()?),
+                None => filter.services.push(u64::from_str_radix(part, 16).ok()?),
             }
         }
-        parts.services.sort_unstable();
+        filter.services.sort_unstable();
         Some(Self {
             since: since.parse().ok()?,
-            parts: Some(parts),
+            filter: Some(filter),
         })
     }
 }
 
-impl Parts {
+impl UpstreamFilter {
     /// Whether the filter selects an upstream, for all changes or for routing changes only.
     #[must_use]
-    pub fn have(&self, routing: RoutingDigest) -> bool {
+    pub fn matches(&self, routing: RoutingDigest) -> bool {
         self.relevance_of(routing) != Relevance::Unrequested
     }
 
@@ -484,9 +487,9 @@
         // Fast path: most requests come from nodes that only send live calls, and loads of
         // weights do not concern them.
         let calls_only = request
-            .parts
+            .filter
             .as_ref()
-            .is_some_and(|parts| parts.slices.is_empty());
+            .is_some_and(|filter| filter.slices.is_empty());
         if calls_only && self.last_routing_change <= since {
             return Vec::new();
         }
@@ -643,9 +646,9 @@
 
     /// Which changes the request selects. Objects without a routing digest are sent to every node.
     fn relevance_for(&self, request: &RelayRequest) -> Relevance {
-        match (&request.parts, self.routing) {
+        match (&request.filter, self.routing) {
             (None, _) => Relevance::AllChanges,
-            (Some(parts), Some(routing)) => parts.relevance_of(routing),
+            (Some(filter), Some(routing)) => filter.relevance_of(routing),
             (Some(_), None) => Relevance::RoutingChanges,
         }
     }
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -194,7 +194,7 @@
         let parts = &self.shared.parts;
         let duty = parts.holder.held_duty();
         let holds = duty.is_some();
-        parts.interest.take_orders(holds);
+        parts.interest.set_may_order_weights(holds);
         // Seeds and nodes that draft know the engines' versions and notice that no one gives
         // orders; other nodes learn the versions late or never.
         let began = parts.clock.now();
--- a/crates/node/tests/interest.rs
+++ b/crates/node/tests/interest.rs
@@ -6,8 +6,8 @@
 use firweir_node::interest::DraftedModel;
 use firweir_node::interest::Interest;
 use firweir_node::interest::ModelSlice;
-use firweir_node::interest::Parts;
-use firweir_node::interest::Wanted;
+use firweir_node::interest::Subscription;
+use firweir_node::interest::UpstreamFilter;
 use firweir_node::model::Config;
 use firweir_node::model::Route;
 use firweir_node::model::RouteKind;
@@ -47,14 +47,14 @@
 }
 
 /// What calls need, and the slices of these models besides.
-fn parts(slices: &[(u64, u32)]) -> Wanted {
+fn parts(slices: &[(u64, u32)]) -> Subscription {
     let slice = |(model, zeros): &(u64, u32)| ModelSlice {
         model: *model,
         slice: FleetSlice {
             leading_zeros: *zeros,
         },
     };
-    Wanted::Parts(Parts {
+    Subscription::Filtered(UpstreamFilter {
         services: vec![hash_of_name("cards")],
         slices: slices.iter().map(slice).collect(),
     })
@@ -71,32 +71,44 @@
 fn a_node_that_drafts_wants_everything_for_a_while() {
     let interest = Interest::default();
     let start = Instant::now();
-    interest.take_config(&config());
-    assert_eq!(interest.wanted(), parts(&[]), "what its calls need");
-    interest.take_drafting(start, &[MODEL]);
-    assert_eq!(interest.wanted(), Wanted::All, "at once");
-    interest.take_drafting(start + Duration::from_secs(4), &[]);
-    assert_eq!(interest.wanted(), Wanted::All, "until the next step");
-    interest.take_drafting(start + Duration::from_secs(30), &[]);
-    assert_eq!(interest.wanted(), parts(&[]), "no step comes any more");
-    interest.take_orders(true);
-    assert_eq!(interest.wanted(), Wanted::All, "it orders weights");
+    interest.set_config(&config());
+    assert_eq!(interest.subscription(), parts(&[]), "what its calls need");
+    interest.set_drafted_models(start, &[MODEL]);
+    assert_eq!(interest.subscription(), Subscription::All, "at once");
+    interest.set_drafted_models(start + Duration::from_secs(4), &[]);
+    assert_eq!(
+        interest.subscription(),
+        Subscription::All,
+        "until the next step"
+    );
+    interest.set_drafted_models(start + Duration::from_secs(30), &[]);
+    assert_eq!(
+        interest.subscription(),
+        parts(&[]),
+        "no step comes any more"
+    );
+    interest.set_may_order_weights(true);
+    assert_eq!(
+        interest.subscription(),
+        Subscription::All,
+        "it orders weights"
+    );
 }
 
 /// Guards against a fleet in which every node hears of every version of every model.
 #[tokio::test(start_paused = true)]
 async fn versions_are_for_nodes_that_follow_engines() {
     let interest = Interest::default();
-    interest.take_config(&config());
-    interest.take_listed(10_000);
+    interest.set_config(&config());
+    interest.set_total_upstreams(10_000);
     let wait = Duration::from_secs(1);
-    let followed = tokio::time::timeout(wait, interest.engines_followed());
+    let followed = tokio::time::timeout(wait, interest.wait_until_engines_followed());
     assert!(followed.await.is_err(), "it only takes callers");
     let drafts = async {
         tokio::time::sleep(wait / 2).await;
-        interest.take_drafting(Instant::now(), &[MODEL]);
+        interest.set_drafted_models(Instant::now(), &[MODEL]);
     };
-    let followed = tokio::time::timeout(wait, interest.engines_followed());
+    let followed = tokio::time::timeout(wait, interest.wait_until_engines_followed());
     let (followed, ()) = tokio::join!(followed, drafts);
     assert!(followed.is_ok(), "it has got a step");
 }
@@ -105,7 +117,7 @@
     name: &'static str,
     /// Entries of the whole list, one after the other.
     listed: &'static [usize],
-    wanted: Wanted,
+    subscription: Subscription,
 }
 
 /// Guards against a home that follows a whole fleet for one model, and against one that asks
@@ -116,45 +128,45 @@
         Case {
             name: "a small fleet, whole",
             listed: &[600],
-            wanted: Wanted::All,
+            subscription: Subscription::All,
         },
         Case {
             name: "a fleet",
             listed: &[10_000],
-            wanted: parts(&[(7, 4)]),
+            subscription: parts(&[(7, 4)]),
         },
         Case {
             name: "twice the fleet",
             listed: &[20_000],
-            wanted: parts(&[(7, 5)]),
+            subscription: parts(&[(7, 5)]),
         },
         Case {
             name: "a few engines less than the narrower slice needs",
             listed: &[10_300, 10_200],
-            wanted: parts(&[(7, 5)]),
+            subscription: parts(&[(7, 5)]),
         },
         Case {
             name: "a quarter of the fleet is left",
             listed: &[10_300, 2_600],
-            wanted: parts(&[(7, 3)]),
+            subscription: parts(&[(7, 3)]),
         },
         Case {
             name: "hardly any is left",
             listed: &[10_000, 300],
-            wanted: Wanted::All,
+            subscription: Subscription::All,
         },
     ];
     for case in cases {
         let interest = Interest::default();
-        interest.take_config(&config());
-        interest.take_listed(case.listed[0]);
-        interest.take_drafting(Instant::now(), &[MODEL]);
+        interest.set_config(&config());
+        interest.set_total_upstreams(case.listed[0]);
+        interest.set_drafted_models(Instant::now(), &[MODEL]);
         for listed in case.listed {
-            interest.take_listed(*listed);
+            interest.set_total_upstreams(*listed);
         }
-        assert_eq!(interest.wanted(), case.wanted, "{}", case.name);
+        assert_eq!(interest.subscription(), case.subscription, "{}", case.name);
         let models = interest.models();
-        let sees_all = case.wanted == Wanted::All;
+        let sees_all = case.subscription == Subscription::All;
         assert_eq!(models.is_none(), sees_all, "{}: its models", case.name);
     }
 }
