--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -378,7 +378,7 @@
     }
 
     fn no_route(&self) -> Response<Body> {
-        if self.fleet.is_config_young() {
+        if self.fleet.is_config_fresh() {
             refusal(Outcome::BadRequest(StatusCode::NOT_FOUND), "no-route")
         } else {
             refusal(Outcome::NotRun(COME_BACK), "configuration-old")
@@ -397,7 +397,7 @@
         let patience = patience.unwrap_or(CONFIG_WAIT);
         let wait = CONFIG_WAIT.min(patience.mul_f64(CONFIG_WAIT_PART));
         // Late or not, the look below tells.
-        _ = within(wait, self.fleet.configured()).await;
+        _ = within(wait, self.fleet.wait_until_configured()).await;
         let config = self.fleet.config();
         (config.version > 0).then_some(config)
     }
--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -122,7 +122,7 @@
         Self {
             config: fleet.config(),
             upstreams: fleet.upstreams(),
-            named: fleet.named(),
+            named: fleet.latest_versions(),
         }
     }
 
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -55,8 +55,8 @@
     let engines = candidate_engines(fleet);
     let slots = engines.iter().map(|engine| engine.slots).min();
     // A node that drafts may know only some of them.
-    let total = engines.len().max(fleet.listed());
-    let mut models = models_of(&engines, &fleet.named());
+    let total = engines.len().max(fleet.total_upstreams());
+    let mut models = models_of(&engines, &fleet.latest_versions());
     let needs = needs_of(&models, slots.unwrap_or(1), fleet.demands());
     for need in &needs {
         models[need.model.0 as usize].slice = pool_slice(total, need.engines);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -80,12 +80,12 @@
     /// Sorted by instance.
     upstreams: ArcSwap<Vec<Arc<Upstream>>>,
     /// Sorted by model.
-    named: ArcSwap<Vec<ModelVersion>>,
+    latest_versions: ArcSwap<Vec<ModelVersion>>,
     demands: Arc<ModelDemands>,
     /// Number of entries in the full list of upstreams, as reported by the store or a seed.
-    listed: AtomicUsize,
+    total_upstreams: AtomicUsize,
     /// This node knows all of them.
-    knows_all: AtomicBool,
+    knows_all_upstreams: AtomicBool,
     changed: Notify,
 }
 
@@ -108,16 +108,16 @@
     /// Any change, including versions of weights.
     any_change: bool,
     /// The set of upstreams, or a property that matters for routing.
-    whereabouts: bool,
+    routing_changed: bool,
 }
 
 /// Result of a change to the list of upstreams.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct TakenUpstreams {
+pub struct UpstreamChanges {
     /// Addresses at which an upstream has restarted.
     pub restarted: Vec<SocketAddr>,
     /// Something other than versions of weights changed.
-    pub whereabouts: bool,
+    pub routing_changed: bool,
 }
 
 /// Changes by a batch of entries.
@@ -201,7 +201,7 @@
     const fn mark_routing_changed(&mut self) {
         self.unpublished = Unpublished {
             any_change: true,
-            whereabouts: true,
+            routing_changed: true,
         };
     }
 }
@@ -219,10 +219,10 @@
             boot_clock: parts.boot_clock,
             config_as_of_ms: AtomicU64::new(0),
             upstreams: ArcSwap::default(),
-            named: ArcSwap::default(),
+            latest_versions: ArcSwap::default(),
             demands: Arc::default(),
-            listed: AtomicUsize::new(0),
-            knows_all: AtomicBool::new(false),
+            total_upstreams: AtomicUsize::new(0),
+            knows_all_upstreams: AtomicBool::new(false),
             changed: Notify::new(),
         })
     }
@@ -235,7 +235,7 @@
 
     /// Records that this configuration is the newest, and was so in the store at `as_of` (time
     /// since boot; `None` if unknown).
-    pub fn hear_of_config(&self, as_of: Option<Duration>) {
+    pub fn record_config_confirmed(&self, as_of: Option<Duration>) {
         self.config_confirmed_at
             .store(Some(Arc::new(self.clock.now())));
         let as_of_ms = as_of.map_or(0, |as_of| as_of.as_millis() as u64);
@@ -261,7 +261,7 @@
     /// the route does not exist, the caller would not retry. So it answers this only with a
     /// recently confirmed configuration, and otherwise that it does not know yet.
     #[must_use]
-    pub fn is_config_young(&self) -> bool {
+    pub fn is_config_fresh(&self) -> bool {
         let confirmed_at = self.config_confirmed_at.load();
         confirmed_at.as_ref().is_some_and(|confirmed_at| {
             self.clock.now().duration_since(**confirmed_at) < CONFIG_FRESH_FOR
@@ -286,8 +286,8 @@
 
     /// The newest version of each model that a trainer announced.
     #[must_use]
-    pub fn named(&self) -> Arc<Vec<ModelVersion>> {
-        self.named.load_full()
+    pub fn latest_versions(&self) -> Arc<Vec<ModelVersion>> {
+        self.latest_versions.load_full()
     }
 
     /// Number of samples in the largest step of each model.
@@ -299,28 +299,30 @@
     /// Number of entries in the full list of upstreams, of which this node may know a part; 0 if
     /// unknown.
     #[must_use]
-    pub fn listed(&self) -> usize {
-        self.listed.load(Ordering::Relaxed)
+    pub fn total_upstreams(&self) -> usize {
+        self.total_upstreams.load(Ordering::Relaxed)
     }
 
     /// Whether this node knows every entry of the list of upstreams, not only a part.
     #[must_use]
-    pub fn knows_all(&self) -> bool {
-        self.knows_all.load(Ordering::Relaxed)
+    pub fn knows_all_upstreams(&self) -> bool {
+        self.knows_all_upstreams.load(Ordering::Relaxed)
     }
 
     /// Sets the size of the full list of upstreams and whether this node follows all of it.
-    pub fn take_extent(&self, extent: Extent) {
-        if let Some(listed) = extent.listed {
-            self.listed.store(listed, Ordering::Relaxed);
+    pub fn set_extent(&self, extent: Extent) {
+        if let Some(total_upstreams) = extent.total_objects {
+            self.total_upstreams
+                .store(total_upstreams, Ordering::Relaxed);
         }
-        if let Some(whole) = extent.whole {
-            self.knows_all.store(whole, Ordering::Relaxed);
+        if let Some(is_complete) = extent.is_complete {
+            self.knows_all_upstreams
+                .store(is_complete, Ordering::Relaxed);
         }
     }
 
     /// Waits until a configuration is known.
-    pub async fn configured(&self) {
+    pub async fn wait_until_configured(&self) {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -340,7 +342,7 @@
 
     /// Applies a configuration if it is newer than the one in force: a stale read from before an
     /// outage must not revert what callers have seen.
-    pub fn take_config(&self, change: Change) {
+    pub fn apply_config(&self, change: Change) {
         for object in change.into_objects() {
             self.apply_config_object(&object);
         }
@@ -367,8 +369,8 @@
     }
 
     /// Applies versions that trainers announced. Older versions are ignored.
-    pub fn take_version(&self, change: Change) {
-        let mut named = Vec::clone(&self.named.load());
+    pub fn apply_versions(&self, change: Change) {
+        let mut latest_versions = Vec::clone(&self.latest_versions.load());
         for object in change.into_objects() {
             let version = match self.dialect.weight_version(&object) {
                 Ok(version) => version,
@@ -380,22 +382,28 @@
                     continue;
                 }
             };
-            match named.binary_search_by(|known: &ModelVersion| known.model.cmp(&version.model)) {
-                Ok(at) if named[at].version >= version.version => continue,
-                Ok(at) => named[at].version = version.version,
-                Err(at) => named.insert(at, version.clone()),
+            match latest_versions
+                .binary_search_by(|known: &ModelVersion| known.model.cmp(&version.model))
+            {
+                Ok(at) if latest_versions[at].version >= version.version => continue,
+                Ok(at) => latest_versions[at].version = version.version,
+                Err(at) => latest_versions.insert(at, version.clone()),
             }
             self.journal.event(
                 "version_named",
                 &[("model", &version.model), ("version", &version.version)],
             );
         }
-        self.named.store(Arc::new(named));
+        self.latest_versions.store(Arc::new(latest_versions));
         self.changed.notify_waiters();
     }
 
     /// Applies changes to the list of upstreams, and publishes them together.
-    pub fn take_upstreams(&self, list: &mut UpstreamList, changes: Vec<Change>) -> TakenUpstreams {
+    pub fn apply_upstreams(
+        &self,
+        list: &mut UpstreamList,
+        changes: Vec<Change>,
+    ) -> UpstreamChanges {
         let now = self.clock.now();
         let mut changed_entries = EntryChanges::default();
         for change in changes {
@@ -409,9 +417,9 @@
             }
         }
         self.log_listed(list, &changed_entries.names);
-        TakenUpstreams {
+        UpstreamChanges {
             restarted: changed_entries.restarted,
-            whereabouts: self.publish(list),
+            routing_changed: self.publish(list),
         }
     }
 
@@ -462,7 +470,7 @@
 
     /// Drops missing entries that were kept long enough. Returns whether anything other than
     /// versions of weights changed.
-    pub fn drop_gone(&self, list: &mut UpstreamList) -> bool {
+    pub fn drop_expired(&self, list: &mut UpstreamList) -> bool {
         let now = self.clock.now();
         let before = list.entries.len();
         list.entries
@@ -497,7 +505,9 @@
                 .event("upstream_restarted", &[("upstream", &upstream.instance)]);
         }
         match known {
-            Some(entry) if entry.drop_at.is_none() && entry.upstream.is_where(&upstream) => {
+            Some(entry)
+                if entry.drop_at.is_none() && entry.upstream.has_same_routing(&upstream) =>
+            {
                 list.unpublished.any_change |= entry.upstream.models != upstream.models;
             }
             _ => list.mark_routing_changed(),
@@ -567,6 +577,6 @@
             self.upstreams.store(Arc::new(list.usable()));
             self.changed.notify_waiters();
         }
-        unpublished.whereabouts
+        unpublished.routing_changed
     }
 }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -173,9 +173,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Extent {
     /// Objects in all.
-    pub listed: Option<usize>,
+    pub total_objects: Option<usize>,
     /// All of them are told, not only a part.
-    pub whole: Option<bool>,
+    pub is_complete: Option<bool>,
 }
 
 /// One kind as its follower knows it.
@@ -308,8 +308,8 @@
                     list(&self.sources.store, self.kind, Freshness::Newest).await?;
                 self.listed = Some(self.sources.clock.now());
                 let extent = Extent {
-                    listed: Some(objects.len()),
-                    whole: Some(self.subscription == Subscription::All),
+                    total_objects: Some(objects.len()),
+                    is_complete: Some(self.subscription == Subscription::All),
                 };
                 objects.retain(|object| self.is_wanted(object));
                 Update {
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -144,8 +144,8 @@
             revision: relay_answer.revision,
             news: News {
                 extent: Extent {
-                    listed: Some(relay_answer.total_objects),
-                    whole: relay_answer
+                    total_objects: Some(relay_answer.total_objects),
+                    is_complete: relay_answer
                         .is_full_list
                         .then_some(self.subscription == Subscription::All),
                 },
--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -65,7 +65,7 @@
     pub fn take_fleet(&self, fleet: &Fleet) {
         let (config, upstreams) = (fleet.config(), fleet.upstreams());
         for service in &config.services {
-            if !config.is_called(&service.name) {
+            if !config.has_call_route(&service.name) {
                 continue;
             }
             let gate = self.of(&service.name);
--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -193,7 +193,7 @@
 
     /// Whether a route for calls leads to a service; one for rollouts does not count.
     #[must_use]
-    pub fn is_called(&self, service: &str) -> bool {
+    pub fn has_call_route(&self, service: &str) -> bool {
         self.call_routes().any(|route| route.leads_to(service))
     }
 
@@ -266,7 +266,7 @@
 impl Upstream {
     /// The same upstream at the same place, whatever its weights.
     #[must_use]
-    pub fn is_where(&self, other: &Self) -> bool {
+    pub fn has_same_routing(&self, other: &Self) -> bool {
         self.instance == other.instance
             && self.service == other.service
             && self.address == other.address
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -498,9 +498,9 @@
     };
     base.follow(ObjectKind::Configuration, how, move |news| {
         for change in news.changes {
-            fleet.take_config(change);
+            fleet.apply_config(change);
         }
-        fleet.hear_of_config(news.as_of);
+        fleet.record_config_confirmed(news.as_of);
         interest.set_config(&fleet.config());
         standing.set_takes_steps(!tasks.is_draining());
         live.take_fleet();
@@ -526,16 +526,16 @@
         let mut list = followed
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        fleet.take_extent(news.extent);
-        if let Some(listed) = news.extent.listed {
-            interest.set_total_upstreams(listed);
+        fleet.set_extent(news.extent);
+        if let Some(total) = news.extent.total_objects {
+            interest.set_total_upstreams(total);
         }
-        let taken = fleet.take_upstreams(&mut list, news.changes);
+        let taken = fleet.apply_upstreams(&mut list, news.changes);
         for address in taken.restarted {
             connections.close_idle(address);
         }
         // Live and reward calls do not ask which weights an upstream has.
-        if taken.whereabouts {
+        if taken.routing_changed {
             live.take_fleet();
             scoring.update_upstreams();
         }
@@ -552,7 +552,7 @@
     };
     base.follow(ObjectKind::WeightVersions, how, move |news| {
         for change in news.changes {
-            fleet.take_version(change);
+            fleet.apply_versions(change);
         }
     });
     let (homes, holder) = (node.homes.clone(), node.holder.clone());
@@ -573,7 +573,7 @@
             let mut list = list
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
-            let dropped = fleet.drop_gone(&mut list);
+            let dropped = fleet.drop_expired(&mut list);
             drop(list);
             if dropped {
                 live.take_fleet();
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -9,7 +9,7 @@
 /// home has reported any.
 #[must_use]
 pub fn demand_of(fleet: &Fleet, service: &str) -> Option<Demand> {
-    let (upstreams, named) = (fleet.upstreams(), fleet.named());
+    let (upstreams, named) = (fleet.upstreams(), fleet.latest_versions());
     let of_service = upstreams.iter().filter(|held| held.service == service);
     let mut models: Vec<&str> = of_service
         .flat_map(|upstream| &upstream.models)
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -121,7 +121,7 @@
             };
             pause = LOOK_EVERY;
             // A new holder may not have the complete list of upstreams yet.
-            if !self.parts.fleet.knows_all() {
+            if !self.parts.fleet.knows_all_upstreams() {
                 continue;
             }
             let known = progress.take().filter(|known| known.epoch == held.epoch);
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -213,7 +213,7 @@
         }
         // A new holder may know only the engines of its own models, and would take these for
         // all engines.
-        let due = if holds && !parts.fleet.knows_all() {
+        let due = if holds && !parts.fleet.knows_all_upstreams() {
             Vec::new()
         } else {
             self.due_orders(models.as_deref())
@@ -270,7 +270,7 @@
     fn due_orders(&self, models: Option<&[u64]>) -> Vec<DueOrder> {
         let fleet = &self.shared.parts.fleet;
         let now = self.shared.parts.clock.now();
-        let named = fleet.named();
+        let named = fleet.latest_versions();
         let Engines {
             serving: engines,
             model_shares,
