--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -38,7 +38,7 @@
 use crate::fleet::Fleet;
 use crate::holder::DUTY_HOLDER_PATH;
 use crate::holder::DutyHolder;
-use crate::live::Live;
+use crate::live::LiveCalls;
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
 use crate::model::Config;
@@ -98,7 +98,7 @@
 pub(crate) struct Door {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) live: Arc<Live>,
+    pub(crate) live: Arc<LiveCalls>,
     pub(crate) scoring: Scoring,
     pub(crate) submissions: SubmissionManager,
     pub(crate) drafting: Drafting,
@@ -162,7 +162,7 @@
             .answer_question(RequestOrigin::Client, None, asked, &head)
             .await;
         if answer.status() == StatusCode::NOT_FOUND {
-            return Live::not_ready();
+            return LiveCalls::not_ready();
         }
         answer
     }
@@ -349,7 +349,7 @@
         body: Incoming,
     ) -> Response<Body> {
         let Some(config) = self.first_config(routed.patience).await else {
-            return Live::not_ready();
+            return LiveCalls::not_ready();
         };
         let Some(route) = config.route(&routed.host, head.uri.path()) else {
             return self.no_route();
--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -62,7 +62,7 @@
 
     /// Brings the gates up to what the fleet knows. No call waits at a gate of engines that
     /// serve rollouts only, and there are thousands of them.
-    pub fn take_fleet(&self, fleet: &Fleet) {
+    pub fn update_upstreams(&self, fleet: &Fleet) {
         let (config, upstreams) = (fleet.config(), fleet.upstreams());
         for service in &config.services {
             if !config.has_call_route(&service.name) {
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -77,7 +77,7 @@
 
 /// Answers live calls; shared by all connections.
 #[derive(Debug)]
-pub struct Live {
+pub struct LiveCalls {
     shared: Shared,
     /// Hash of this node. Its calls of a service go to the same upstream while that is
     /// no fuller than others, so that its connections are used again: with many nodes each
@@ -113,7 +113,7 @@
     progress: CallProgress,
 }
 
-impl Live {
+impl LiveCalls {
     /// Answers nothing before the fleet knows a configuration.
     #[must_use]
     pub fn new(shared: Shared, node: &str, zone: String) -> Arc<Self> {
@@ -138,8 +138,8 @@
     }
 
     /// Brings the gates up to what the fleet knows.
-    pub fn take_fleet(&self) {
-        self.gates.take_fleet(&self.shared.fleet);
+    pub fn update_upstreams(&self) {
+        self.gates.update_upstreams(&self.shared.fleet);
     }
 
     /// Lets time-bound decisions happen.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -42,7 +42,7 @@
 use crate::follow::follow;
 use crate::holder::DutyHolder;
 use crate::holder::DutyHolderParts;
-use crate::live::Live;
+use crate::live::LiveCalls;
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
 use crate::outage::Outage;
@@ -366,7 +366,7 @@
         journal: journal.clone(),
         mechanisms: base.mechanisms,
     };
-    let live = Live::new(
+    let live = LiveCalls::new(
         shared.clone(),
         &base.settings.node,
         base.settings.zone.clone(),
@@ -503,7 +503,7 @@
         fleet.record_config_confirmed(news.as_of);
         interest.set_config(&fleet.config());
         standing.set_takes_steps(!tasks.is_draining());
-        live.take_fleet();
+        live.update_upstreams();
         scoring.update_upstreams();
     });
     let list = Arc::new(std::sync::Mutex::new(UpstreamList::default()));
@@ -536,7 +536,7 @@
         }
         // Live and reward calls do not ask which weights an upstream has.
         if taken.routing_changed {
-            live.take_fleet();
+            live.update_upstreams();
             scoring.update_upstreams();
         }
     });
@@ -576,7 +576,7 @@
             let dropped = fleet.drop_expired(&mut list);
             drop(list);
             if dropped {
-                live.take_fleet();
+                live.update_upstreams();
                 scoring.update_upstreams();
             }
             live.tick();
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -106,7 +106,7 @@
 
     /// Updates the upstreams of the gates from the fleet.
     pub fn update_upstreams(&self) {
-        self.gates.take_fleet(&self.shared.fleet);
+        self.gates.update_upstreams(&self.shared.fleet);
     }
 
     /// Runs decisions that depend on the time.
