--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -44,7 +44,7 @@
 use crate::duty::takeover_delay;
 use crate::outage::Outage;
 use crate::reload::InForce;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::store::Store;
 use crate::submission::records::NodeRef;
 
@@ -401,7 +401,7 @@
                     .store
                     .create(kind, DUTY_NAME, &duty, write, until)
                     .await;
-                matches!(created, Ok(Created::Now))
+                matches!(created, Ok(CreateOutcome::Created))
             }
             Some(found) => {
                 let revision = found.revision;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -348,7 +348,7 @@
         dialect: Arc::clone(dialect),
     });
     let counting = Counting::new(CountingParts {
-        process: base.store.writer().to_owned(),
+        process: base.store.writer_id().to_owned(),
         settings: base.in_force.clone(),
         connections: base.connections.clone(),
         clock: Arc::clone(clock),
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -274,7 +274,7 @@
     let read = |object: &Object| {
         let record = serde_json::from_str::<Record>(object.value.get());
         if let Err(error) = &record {
-            store.note_unreadable(ObjectKind::ScaleOrders, &object.name, error);
+            store.log_unreadable(ObjectKind::ScaleOrders, &object.name, error);
         }
         let record = record.ok()?;
         Some((Subject::recorded(&record, object.revision), record))
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -35,13 +35,13 @@
 const PAUSE_FIRST: Duration = Duration::from_millis(100);
 const PAUSE_MOST: Duration = Duration::from_millis(800);
 
-/// How a creation ended for certain.
+/// Confirmed outcome of [`Store::create`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Created {
-    /// This write made the object.
-    Now,
-    /// Another write had made it.
-    Before,
+pub enum CreateOutcome {
+    /// This write created the object.
+    Created,
+    /// An earlier write by another caller had created it.
+    AlreadyExists,
 }
 
 /// The part of every value that names the write which made it.
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Names this process: no other one has it.
+    /// Id of this process, unique among all processes that write.
     #[must_use]
-    pub fn writer(&self) -> &str {
+    pub fn writer_id(&self) -> &str {
         &self.writer
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Notes that an object of the system's own is not as the system writes it.
-    pub fn note_unreadable(&self, kind: ObjectKind, name: &str, cause: &serde_json::Error) {
+    pub fn log_unreadable(&self, kind: ObjectKind, name: &str, cause: &serde_json::Error) {
         self.journal.event(
             "object_unreadable",
             &[
@@ -292,7 +292,7 @@
         value: &T,
         write: &str,
         until: Instant,
-    ) -> Result<Created, StoreError> {
+    ) -> Result<CreateOutcome, StoreError> {
         let call = StoreCall::Create {
             kind,
             name: name.to_owned(),
@@ -302,10 +302,12 @@
         let mut pause = PAUSE_FIRST;
         loop {
             let failed = match self.call(&call).await {
-                Ok(_) => return Ok(Created::Now),
+                Ok(_) => return Ok(CreateOutcome::Created),
                 Err(StoreError::Conflict) => match self.read(kind, name).await {
-                    Ok(Some(object)) if is_made_by(&object, write) => return Ok(Created::Now),
-                    Ok(Some(_)) => return Ok(Created::Before),
+                    Ok(Some(object)) if is_made_by(&object, write) => {
+                        return Ok(CreateOutcome::Created);
+                    }
+                    Ok(Some(_)) => return Ok(CreateOutcome::AlreadyExists),
                     Ok(None) => StoreError::Conflict,
                     Err(error) => error,
                 },
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -19,7 +19,7 @@
 use crate::respond::empty;
 use crate::respond::reason_of;
 use crate::respond::refusal;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::submission::local::LocalSubmission;
 use crate::submission::manager::Acceptance;
 use crate::submission::manager::AcceptanceEntry;
@@ -346,6 +346,6 @@
                 until,
             )
             .await?;
-        Ok((created == Created::Now).then_some((head, sent)))
+        Ok((created == CreateOutcome::Created).then_some((head, sent)))
     }
 }
--- a/crates/node/src/submission/local.rs
+++ b/crates/node/src/submission/local.rs
@@ -31,7 +31,7 @@
 use crate::model::Item;
 use crate::model::ItemResult;
 use crate::model::Route;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::store::Store;
 use crate::submission::head_view::HeadView;
 use crate::submission::records::Head;
@@ -494,7 +494,7 @@
             let until = clock.now() + WRITE_TIMEOUT;
             let kind = ObjectKind::ResultChunks;
             match store.create(kind, &name, &chunk, &chunk.write, until).await {
-                Ok(Created::Now) => {
+                Ok(CreateOutcome::Created) => {
                     let took_ms = clock.now().duration_since(started).as_millis();
                     journal.event(
                         "results_listed",
@@ -508,7 +508,7 @@
                     self.append(number, chunk.results);
                     return;
                 }
-                Ok(Created::Before) => {
+                Ok(CreateOutcome::AlreadyExists) => {
                     journal.event(
                         "results_met",
                         &[("submission", &self.id), ("chunk", &number)],
@@ -701,7 +701,7 @@
             }
             let record = serde_json::from_str(object.value.get());
             records.push(record.unwrap_or_else(|error| {
-                store.note_unreadable(kind, &object.name, &error);
+                store.log_unreadable(kind, &object.name, &error);
                 T::default()
             }));
         }
--- a/crates/node/src/submission/text_saver.rs
+++ b/crates/node/src/submission/text_saver.rs
@@ -18,7 +18,7 @@
 use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::drafting::Drafting;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::store::Store;
 use crate::submission::local::LocalSubmission;
 use crate::submission::records::UnfinishedTexts;
@@ -65,12 +65,12 @@
                 continue;
             };
             match self.write(&record).await {
-                Ok(Created::Now) => {
+                Ok(CreateOutcome::Created) => {
                     self.submission
                         .set_saved_record_count(self.submission.saved_record_count() + 1);
                     update_saved(&mut saved, &record);
                 }
-                Ok(Created::Before) => {
+                Ok(CreateOutcome::AlreadyExists) => {
                     self.log_event("texts_met", &"another-runner");
                     return;
                 }
@@ -90,7 +90,7 @@
         Some(UnfinishedTexts { write, pieces })
     }
 
-    async fn write(&self, record: &UnfinishedTexts) -> Result<Created, StoreError> {
+    async fn write(&self, record: &UnfinishedTexts) -> Result<CreateOutcome, StoreError> {
         let name = record_name(&self.submission.id, self.submission.saved_record_count());
         let until = self.clock.now() + WRITE_TIMEOUT;
         let kind = ObjectKind::UnfinishedTexts;
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -26,7 +26,7 @@
 use crate::holder::DutyHolder;
 use crate::reload::InForce;
 use crate::settings::UsageSettings;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::store::Store;
 use crate::usage::counting::Counting;
 use crate::usage::tally::AccountCount;
@@ -234,8 +234,8 @@
             .create(kind, &name, &fixed, &fixed.write, until)
             .await?
         {
-            Created::Now => Ok(fixed),
-            Created::Before => {
+            CreateOutcome::Created => Ok(fixed),
+            CreateOutcome::AlreadyExists => {
                 let object = store.read(kind, &name).await?.ok_or(StoreError::Missing)?;
                 self.decode(&object).ok_or(StoreError::Conflict)
             }
@@ -246,7 +246,7 @@
         let fixed = serde_json::from_str(object.value.get());
         if let Err(error) = &fixed {
             let store = &self.parts.store;
-            store.note_unreadable(ObjectKind::UsageReports, &object.name, error);
+            store.log_unreadable(ObjectKind::UsageReports, &object.name, error);
         }
         fixed.ok()
     }
