--- a/crates/node/src/authentication.rs
+++ b/crates/node/src/authentication.rs
@@ -29,14 +29,14 @@
 
 /// How often a node has to hear of its configuration where calls need keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsLimits {
+pub struct ConfigWaitLimits {
     /// Longest wait of a watch of the store.
-    pub watch: Duration,
+    pub max_watch: Duration,
     /// Longest time for which a seed holds a question.
-    pub hold: Duration,
+    pub max_hold: Duration,
 }
 
-impl NewsLimits {
+impl ConfigWaitLimits {
     /// Limits for the times that an operator sets.
     #[must_use]
     pub fn new(apply: Duration, revocation: Option<Duration>) -> Self {
@@ -45,8 +45,8 @@
             apply.mul_f64(of_apply).min(most)
         };
         Self {
-            watch: part(WATCH_OF_APPLY, WATCH_OF_REVOCATION),
-            hold: part(HOLD_OF_APPLY, HOLD_OF_REVOCATION),
+            max_watch: part(WATCH_OF_APPLY, WATCH_OF_REVOCATION),
+            max_hold: part(HOLD_OF_APPLY, HOLD_OF_REVOCATION),
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -156,7 +156,7 @@
             store: store.clone(),
             connections: connections.clone(),
             seeds: Seeds::default(),
-            relay: Arc::new(Relay::new(max_age_for(settings.news_bound()))),
+            relay: Arc::new(Relay::new(max_age_for(settings.max_propagation_delay()))),
             interest: Arc::default(),
             standing: standing_of(&settings),
             dialect: Arc::clone(&dialect),
@@ -489,10 +489,13 @@
     let (relay, configured) = (Arc::clone(&base.sources.relay), Arc::clone(&fleet));
     let how = move || {
         let has_accounts = !configured.config().accounts.is_empty();
-        let limits = has_accounts.then(|| settings.now().news_limits());
-        relay.set_max_hold(ObjectKind::Configuration, limits.map(|limits| limits.hold));
+        let limits = has_accounts.then(|| settings.now().config_wait_limits());
+        relay.set_max_hold(
+            ObjectKind::Configuration,
+            limits.map(|limits| limits.max_hold),
+        );
         Following {
-            watch_most: limits.map(|limits| limits.watch),
+            watch_most: limits.map(|limits| limits.max_watch),
             ..Following::at_once()
         }
     };
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::Deserializer;
 use serde::de::Error;
 
-use crate::authentication::NewsLimits;
+use crate::authentication::ConfigWaitLimits;
 use crate::mechanisms::Mechanism;
 use crate::submission::head_view::HeadLimits;
 
@@ -317,7 +317,7 @@
 
     /// Within this time nodes have to know what is new.
     #[must_use]
-    pub fn news_bound(&self) -> Duration {
+    pub fn max_propagation_delay(&self) -> Duration {
         self.leaving().min(self.config_apply())
     }
 
@@ -329,8 +329,8 @@
 
     /// How often the configuration has to be heard of for that, where calls need keys.
     #[must_use]
-    pub fn news_limits(&self) -> NewsLimits {
-        NewsLimits::new(self.config_apply(), self.revocation())
+    pub fn config_wait_limits(&self) -> ConfigWaitLimits {
+        ConfigWaitLimits::new(self.config_apply(), self.revocation())
     }
 
     /// How old the view of a submission's head may be.
--- a/crates/node/tests/authentication.rs
+++ b/crates/node/tests/authentication.rs
@@ -7,8 +7,8 @@
 use firweir_node::account::Declared;
 use firweir_node::authentication::AgeLimits;
 use firweir_node::authentication::Claim;
+use firweir_node::authentication::ConfigWaitLimits;
 use firweir_node::authentication::Denied;
-use firweir_node::authentication::NewsLimits;
 use firweir_node::authentication::Purpose;
 use firweir_node::authentication::account_of;
 use firweir_node::model::Config;
@@ -193,8 +193,8 @@
             Some(REVOCATION * 5),
         ] {
             let limits = AgeLimits::new(apply, revocation);
-            let news = NewsLimits::new(apply, revocation);
-            let oldest = news.watch * 2 + news.hold;
+            let config_waits = ConfigWaitLimits::new(apply, revocation);
+            let oldest = config_waits.max_watch * 2 + config_waits.max_hold;
             assert!(limits.may_serve(Some(oldest)), "{apply:?} {revocation:?}");
             assert!(oldest < limits.denying, "{apply:?} {revocation:?}");
         }
