--- a/crates/node/src/authentication.rs
+++ b/crates/node/src/authentication.rs
@@ -53,21 +53,21 @@
 
 /// How old a node's configuration may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AgeLimits {
+pub struct ConfigAgeLimits {
     /// Past this a key or route that the configuration lacks may have been added.
-    pub denying: Duration,
+    pub max_age_to_deny: Duration,
     /// Past this a key that it has may have been taken away; `None` where operators take
     /// that into account.
-    pub serving: Option<Duration>,
+    pub max_age_to_serve: Option<Duration>,
 }
 
-impl AgeLimits {
+impl ConfigAgeLimits {
     /// Limits for the times that an operator sets.
     #[must_use]
     pub fn new(apply: Duration, revocation: Option<Duration>) -> Self {
         Self {
-            denying: apply,
-            serving: revocation.map(|revocation| revocation.mul_f64(REVOCATION_PART)),
+            max_age_to_deny: apply,
+            max_age_to_serve: revocation.map(|revocation| revocation.mul_f64(REVOCATION_PART)),
         }
     }
 
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn may_serve(&self, age: Option<Duration>) -> bool {
         let is_young = |limit| age.is_some_and(|age| age <= limit);
-        self.serving.is_none_or(is_young)
+        self.max_age_to_serve.is_none_or(is_young)
     }
 }
 
@@ -87,7 +87,7 @@
     /// No account has its key.
     UnknownKey,
     /// This node cannot tell: its configuration may be too old.
-    Unsure,
+    StaleConfig,
 }
 
 /// What is asked for.
@@ -102,7 +102,7 @@
 
 /// A call as far as its account goes.
 #[derive(Debug, Clone, Copy)]
-pub struct Claim<'a> {
+pub struct AccessRequest<'a> {
     /// The key that came with it.
     pub key: Option<&'a ApiKey>,
     /// It needs none.
@@ -116,23 +116,23 @@
 /// # Errors
 ///
 /// It is not let in.
-pub fn account_of<'a>(
+pub fn authenticate<'a>(
     config: &'a Config,
-    claim: Claim<'_>,
+    access: AccessRequest<'_>,
     age: Option<Duration>,
-    limits: &AgeLimits,
+    limits: &ConfigAgeLimits,
 ) -> Result<Option<&'a str>, Denied> {
     if config.accounts.is_empty() {
         return Ok(None);
     }
-    let holder = claim.key.and_then(|key| config.accounts.holder_of(key));
-    match (holder, claim.key) {
-        (None, _) if claim.is_public => Ok(None),
-        (Some(_), _) if claim.purpose == Purpose::Run && !limits.may_serve(age) => {
-            Err(Denied::Unsure)
+    let holder = access.key.and_then(|key| config.accounts.holder_of(key));
+    match (holder, access.key) {
+        (None, _) if access.is_public => Ok(None),
+        (Some(_), _) if access.purpose == Purpose::Run && !limits.may_serve(age) => {
+            Err(Denied::StaleConfig)
         }
         (Some(holder), _) => Ok(Some(holder)),
-        (None, _) if age.is_none_or(|age| age > limits.denying) => Err(Denied::Unsure),
+        (None, _) if age.is_none_or(|age| age > limits.max_age_to_deny) => Err(Denied::StaleConfig),
         (None, None) => Err(Denied::NoKey),
         (None, Some(_)) => Err(Denied::UnknownKey),
     }
--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -22,11 +22,11 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 
-use crate::authentication::AgeLimits;
-use crate::authentication::Claim;
+use crate::authentication::AccessRequest;
+use crate::authentication::ConfigAgeLimits;
 use crate::authentication::Denied;
 use crate::authentication::Purpose;
-use crate::authentication::account_of;
+use crate::authentication::authenticate;
 use crate::connection_pool::ConnectionPool;
 use crate::detour::path_for_store;
 use crate::dialect::AskedCall;
@@ -134,12 +134,12 @@
         let Some(config) = self.first_config(None).await else {
             return self.asked_by_nobody(asked, head).await;
         };
-        let claim = Claim {
+        let access = AccessRequest {
             key: asked.key.as_ref(),
             is_public: config.has_public_rollouts(&asked.host),
             purpose: Purpose::Manage,
         };
-        let account = match self.account_of(&config, claim, &asked.submission) {
+        let account = match self.authenticate(&config, access, &asked.submission) {
             Ok(account) => account,
             Err(denied) => return denial(denied),
         };
@@ -168,23 +168,23 @@
     }
 
     /// Name of the account that a call is for.
-    fn account_of<'a>(
+    fn authenticate<'a>(
         &self,
         config: &'a Config,
-        claim: Claim<'_>,
+        access: AccessRequest<'_>,
         call: &str,
     ) -> Result<Option<&'a str>, Denied> {
         let age = self.fleet.config_age();
-        let account = account_of(config, claim, age, &self.age_limits());
+        let account = authenticate(config, access, age, &self.age_limits());
         if let Err(denied) = account {
             self.note_denied(denied, config.version, age, call);
         }
         account
     }
 
-    fn age_limits(&self) -> AgeLimits {
+    fn age_limits(&self) -> ConfigAgeLimits {
         let settings = self.settings.now();
-        AgeLimits::new(settings.config_apply(), settings.revocation())
+        ConfigAgeLimits::new(settings.config_apply(), settings.revocation())
     }
 
     fn note_denied(&self, denied: Denied, version: u64, age: Option<Duration>, call: &str) {
@@ -192,7 +192,7 @@
         self.journal.count(match denied {
             Denied::NoKey => "door.no_key",
             Denied::UnknownKey => "door.unknown_key",
-            Denied::Unsure => "door.unsure",
+            Denied::StaleConfig => "door.unsure",
         });
         let age_ms = age.map_or(-1, |age| age.as_millis() as i64);
         self.journal.event(
@@ -354,8 +354,8 @@
         let Some(route) = config.route(&routed.host, head.uri.path()) else {
             return self.no_route();
         };
-        let claim = claim_of(route, routed);
-        let account = match self.account_of(&config, claim, &routed.request_id) {
+        let access = access_request_of(route, routed);
+        let account = match self.authenticate(&config, access, &routed.request_id) {
             Ok(account) => account,
             Err(denied) => return denial(denied),
         };
@@ -445,8 +445,8 @@
     limit_bytes: usize,
 }
 
-const fn claim_of<'a>(route: &Route, routed: &'a RoutedCall) -> Claim<'a> {
-    Claim {
+const fn access_request_of<'a>(route: &Route, routed: &'a RoutedCall) -> AccessRequest<'a> {
+    AccessRequest {
         key: routed.key.as_ref(),
         is_public: route.public,
         purpose: Purpose::Run,
@@ -457,14 +457,14 @@
     match denied {
         Denied::NoKey => "no-key",
         Denied::UnknownKey => "unknown-key",
-        Denied::Unsure => "keys-may-be-old",
+        Denied::StaleConfig => "keys-may-be-old",
     }
 }
 
 /// The answer to a call that is not let in.
 fn denial(denied: Denied) -> Response<Body> {
     let reason = reason_of_denial(denied);
-    if denied == Denied::Unsure {
+    if denied == Denied::StaleConfig {
         return refusal(Outcome::NotRun(COME_BACK), reason);
     }
     let mut answer = refusal(Outcome::BadRequest(StatusCode::UNAUTHORIZED), reason);
--- a/crates/node/tests/authentication.rs
+++ b/crates/node/tests/authentication.rs
@@ -5,12 +5,12 @@
 use firweir_node::account::Accounts;
 use firweir_node::account::ApiKey;
 use firweir_node::account::Declared;
-use firweir_node::authentication::AgeLimits;
-use firweir_node::authentication::Claim;
+use firweir_node::authentication::AccessRequest;
+use firweir_node::authentication::ConfigAgeLimits;
 use firweir_node::authentication::ConfigWaitLimits;
 use firweir_node::authentication::Denied;
 use firweir_node::authentication::Purpose;
-use firweir_node::authentication::account_of;
+use firweir_node::authentication::authenticate;
 use firweir_node::model::Config;
 
 const APPLY: Duration = Duration::from_secs(3);
@@ -72,13 +72,13 @@
     Case {
         name: "it may have been taken away meanwhile",
         age_ms: Some(3_751),
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
         name: "it was never known how old the configuration is",
         age_ms: None,
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
@@ -97,7 +97,7 @@
         name: "an unknown key may be new",
         key: Some("k3"),
         age_ms: Some(3_001),
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
@@ -117,7 +117,7 @@
         name: "no key, and the route may have been opened to all",
         key: None,
         age_ms: None,
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
@@ -151,16 +151,16 @@
 #[test]
 fn whom_a_call_is_for() {
     let config = two_accounts();
-    let limits = AgeLimits::new(APPLY, Some(REVOCATION));
+    let limits = ConfigAgeLimits::new(APPLY, Some(REVOCATION));
     for case in CASES {
         let key = case.key.map(|key| ApiKey::new(key.as_bytes()));
-        let claim = Claim {
+        let access = AccessRequest {
             key: key.as_ref(),
             is_public: case.is_public,
             purpose: case.purpose,
         };
         let age = case.age_ms.map(Duration::from_millis);
-        let account = account_of(&config, claim, age, &limits);
+        let account = authenticate(&config, access, age, &limits);
         assert_eq!(account, case.expected, "{}", case.name);
     }
 }
@@ -168,17 +168,20 @@
 #[test]
 fn without_accounts_or_a_bound_age_does_not_count() {
     let key = ApiKey::new(b"k1");
-    let claim = Claim {
+    let access = AccessRequest {
         key: Some(&key),
         is_public: false,
         purpose: Purpose::Run,
     };
-    let limits = AgeLimits::new(APPLY, Some(REVOCATION));
+    let limits = ConfigAgeLimits::new(APPLY, Some(REVOCATION));
     let nobody = config(Vec::new());
-    assert_eq!(account_of(&nobody, claim, None, &limits), Ok(None));
-    let limits = AgeLimits::new(APPLY, None);
+    assert_eq!(authenticate(&nobody, access, None, &limits), Ok(None));
+    let limits = ConfigAgeLimits::new(APPLY, None);
     let config = two_accounts();
-    assert_eq!(account_of(&config, claim, None, &limits), Ok(Some("kudu")));
+    assert_eq!(
+        authenticate(&config, access, None, &limits),
+        Ok(Some("kudu"))
+    );
 }
 
 /// A node that hears as often as it asks would refuse calls in turn if its answers
@@ -192,11 +195,11 @@
             Some(REVOCATION),
             Some(REVOCATION * 5),
         ] {
-            let limits = AgeLimits::new(apply, revocation);
+            let limits = ConfigAgeLimits::new(apply, revocation);
             let config_waits = ConfigWaitLimits::new(apply, revocation);
             let oldest = config_waits.max_watch * 2 + config_waits.max_hold;
             assert!(limits.may_serve(Some(oldest)), "{apply:?} {revocation:?}");
-            assert!(oldest < limits.denying, "{apply:?} {revocation:?}");
+            assert!(oldest < limits.max_age_to_deny, "{apply:?} {revocation:?}");
         }
     }
 }
