--- a/crates/node/src/account.rs
+++ b/crates/node/src/account.rs
@@ -40,7 +40,7 @@
 
 /// One account as the operator declares it.
 #[derive(Debug)]
-pub struct Declared {
+pub struct DeclaredAccount {
     /// Its name.
     pub name: String,
     /// Keys that name it.
@@ -63,7 +63,7 @@
 impl Accounts {
     /// The accounts that an operator declares. A key that two of them have names none.
     #[must_use]
-    pub fn new(declared: Vec<Declared>) -> Self {
+    pub fn new(declared: Vec<DeclaredAccount>) -> Self {
         let mut names = Vec::with_capacity(declared.len());
         let mut keys = Vec::new();
         let mut priorities = Vec::new();
@@ -121,7 +121,7 @@
     /// Name of the account that a key names. The search tells by its time at most where
     /// the digest of a guess lies; the digest itself is compared in constant time.
     #[must_use]
-    pub fn holder_of(&self, key: &ApiKey) -> Option<&str> {
+    pub fn find_by_key(&self, key: &ApiKey) -> Option<&str> {
         let digest = key.digest();
         let at = self.keys.partition_point(|(held, _)| *held < digest);
         let (held, account) = self.keys.get(at)?;
--- a/crates/node/src/authentication.rs
+++ b/crates/node/src/authentication.rs
@@ -125,7 +125,7 @@
     if config.accounts.is_empty() {
         return Ok(None);
     }
-    let holder = access.key.and_then(|key| config.accounts.holder_of(key));
+    let holder = access.key.and_then(|key| config.accounts.find_by_key(key));
     match (holder, access.key) {
         (None, _) if access.is_public => Ok(None),
         (Some(_), _) if access.purpose == Purpose::Run && !limits.may_serve(age) => {
--- a/crates/node/tests/authentication.rs
+++ b/crates/node/tests/authentication.rs
@@ -4,7 +4,7 @@
 
 use firweir_node::account::Accounts;
 use firweir_node::account::ApiKey;
-use firweir_node::account::Declared;
+use firweir_node::account::DeclaredAccount;
 use firweir_node::authentication::AccessRequest;
 use firweir_node::authentication::ConfigAgeLimits;
 use firweir_node::authentication::ConfigWaitLimits;
@@ -16,16 +16,16 @@
 const APPLY: Duration = Duration::from_secs(3);
 const REVOCATION: Duration = Duration::from_secs(5);
 
-fn declared(name: &str, keys: &[&str]) -> Declared {
+fn declared(name: &str, keys: &[&str]) -> DeclaredAccount {
     let keys = keys.iter().map(|key| ApiKey::new(key.as_bytes()));
-    Declared {
+    DeclaredAccount {
         name: name.to_owned(),
         keys: keys.collect(),
         priority: None,
     }
 }
 
-fn config(accounts: Vec<Declared>) -> Config {
+fn config(accounts: Vec<DeclaredAccount>) -> Config {
     Config {
         version: 1,
         accounts: Accounts::new(accounts),
--- a/crates/node/tests/priorities.rs
+++ b/crates/node/tests/priorities.rs
@@ -1,15 +1,15 @@
 //! Which services order calls by priority, and which priority a call has.
 
 use firweir_node::account::Accounts;
-use firweir_node::account::Declared;
+use firweir_node::account::DeclaredAccount;
 use firweir_node::model::Config;
 use firweir_node::model::NO_PRIORITY;
 use firweir_node::model::Route;
 use firweir_node::model::RouteKind;
 use firweir_node::model::Target;
 
-fn account(name: &str, priority: Option<u32>) -> Declared {
-    Declared {
+fn account(name: &str, priority: Option<u32>) -> DeclaredAccount {
+    DeclaredAccount {
         name: name.to_owned(),
         keys: Vec::new(),
         priority,
@@ -37,7 +37,7 @@
     }
 }
 
-fn config(accounts: Vec<Declared>, routes: Vec<Route>) -> Config {
+fn config(accounts: Vec<DeclaredAccount>, routes: Vec<Route>) -> Config {
     Config {
         version: 1,
         routes,
