--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -93,7 +93,7 @@
     /// Id of this attempt; empty if the client sent none.
     pub request_id: String,
     /// How long the client waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key that came with it.
     pub key: Option<ApiKey>,
 }
@@ -158,7 +158,7 @@
     /// Upstream that is to run it.
     pub upstream: &'a Upstream,
     /// How long its answer is waited for.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// An order to load weights.
@@ -175,7 +175,7 @@
     /// Upstream that is to load.
     pub upstream: &'a Upstream,
     /// Orders that the upstream has accepted so far; else it refuses.
-    pub accepted_before: u64,
+    pub expected_orders_accepted: u64,
 }
 
 /// What an upstream says to an order.
@@ -520,14 +520,14 @@
     fn duty_answer(&self, status: StatusCode) -> DutyAnswer;
 
     /// Writes the question for an upstream's report.
-    fn report_request(&self, upstream: &Upstream) -> Request<Full<Bytes>>;
+    fn engine_report_request(&self, upstream: &Upstream) -> Request<Full<Bytes>>;
 
     /// Reads an upstream's report.
     ///
     /// # Errors
     ///
     /// The report is malformed.
-    fn report(&self, body: &[u8]) -> Result<EngineReport, BadMessage>;
+    fn engine_report(&self, body: &[u8]) -> Result<EngineReport, BadMessage>;
 
     /// Writes a call of the store.
     fn store_request(&self, call: &StoreCall) -> Request<Full<Bytes>>;
--- a/crates/node/src/door.rs
+++ b/crates/node/src/door.rs
@@ -348,7 +348,7 @@
         mut head: http::request::Parts,
         body: Incoming,
     ) -> Response<Body> {
-        let Some(config) = self.first_config(routed.patience).await else {
+        let Some(config) = self.first_config(routed.timeout).await else {
             return LiveCalls::not_ready();
         };
         let Some(route) = config.route(&routed.host, head.uri.path()) else {
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -157,7 +157,7 @@
         body: Incoming,
     ) -> Response<Body> {
         let started = self.shared.clock.now();
-        let patience = routed.patience.unwrap_or(PATIENCE).min(route.timeout());
+        let patience = routed.timeout.unwrap_or(PATIENCE).min(route.timeout());
         let limit = self.shared.fleet.config().max_body_bytes;
         let body = match within(patience, read_body(body, limit)).await {
             Some(Some(body)) => body,
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -295,12 +295,12 @@
 
     async fn requests_at(&self, upstream: &Upstream) -> Option<u32> {
         let parts = &self.parts;
-        let request = parts.dialect.report_request(upstream);
+        let request = parts.dialect.engine_report_request(upstream);
         let answer = parts
             .connections
             .call(upstream.address, request, REPORT_TIMEOUT);
         let answer = answer.await.ok()?;
-        let report = parts.dialect.report(answer.body());
+        let report = parts.dialect.engine_report(answer.body());
         report.ok().map(|report| report.requests)
     }
 
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -227,7 +227,7 @@
         let request = RewardRequest {
             call,
             upstream,
-            patience,
+            timeout: patience,
         };
         let request = match self.shared.dialect.reward_request(&request) {
             Ok(request) => request,
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -378,7 +378,7 @@
     async fn send_order(&self, epoch: u64, due: &DueOrder) -> Result<OrderAnswer, CallError> {
         let parts = &self.shared.parts;
         let known = self.with_engine(&due.upstream.instance, |held| held.accepted);
-        let accepted_before = match known {
+        let expected_orders_accepted = match known {
             Some(accepted) => accepted,
             None => match self.fetch_accepted_orders(&due.upstream).await? {
                 Some(accepted) => accepted,
@@ -394,7 +394,7 @@
             holder: parts.holder.name(),
             epoch,
             upstream: &due.upstream,
-            accepted_before,
+            expected_orders_accepted,
         };
         let request = parts.dialect.weight_order(&order);
         let answer = parts
@@ -408,12 +408,12 @@
     /// the report is unusable.
     async fn fetch_accepted_orders(&self, upstream: &Upstream) -> Result<Option<u64>, CallError> {
         let parts = &self.shared.parts;
-        let request = parts.dialect.report_request(upstream);
+        let request = parts.dialect.engine_report_request(upstream);
         let answer = parts
             .connections
             .call(upstream.address, request, ORDER_TIMEOUT)
             .await?;
-        let report = match parts.dialect.report(answer.body()) {
+        let report = match parts.dialect.engine_report(answer.body()) {
             Ok(report) => report,
             Err(error) => {
                 let instance = &upstream.instance;
