--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -179,7 +179,7 @@
 
     /// A report is due this long after its window's end.
     #[must_use]
-    pub fn late(&self) -> Duration {
+    pub fn due_after(&self) -> Duration {
         Duration::from_secs_f64(self.late_s.max(0.0))
     }
 }
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -161,7 +161,7 @@
             Some(last) => last.window.next(),
             None => self.first_ever(usage),
         };
-        let too_late = now.saturating_sub(usage.late() + usage.window());
+        let too_late = now.saturating_sub(usage.due_after() + usage.window());
         let oldest = fixed.first().map_or(first, |fixed| fixed.window);
         // An earlier holder may not have come to send the newest ones.
         fixed.retain(|fixed| fixed.window.end(usage.window()) > too_late);
@@ -210,7 +210,7 @@
     }
 
     fn is_due(&self, progress: &Progress, usage: &UsageSettings) -> bool {
-        let settle = usage.late().mul_f64(SETTLE_PART);
+        let settle = usage.due_after().mul_f64(SETTLE_PART);
         let fix_at = progress.next.end(usage.window()) + settle;
         let parts = &self.parts;
         parts.clock.now() >= progress.gathered && parts.counting.true_time() >= fix_at
@@ -286,7 +286,7 @@
         let late = now.saturating_sub(fixed.window.end(usage.window()));
         let requests: u64 = fixed.counts.iter().map(|count| count.requests).sum();
         let journal = &self.parts.journal;
-        journal.count(match (taken, late > usage.late()) {
+        journal.count(match (taken, late > usage.due_after()) {
             (false, _) => "usage.not_taken",
             (true, false) => "usage.reported",
             (true, true) => "usage.reported_late",
