--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -10,7 +10,7 @@
 use crate::dialect::Dialect;
 use crate::dialect::ObjectKind;
 use crate::dialect::StoreCall;
-use crate::follow::Following;
+use crate::follow::FollowOptions;
 use crate::node::Base;
 use crate::node::NodeError;
 use crate::node::serve_metrics;
@@ -38,7 +38,7 @@
     let (asked, mut asking) = tokio::sync::mpsc::unbounded_channel();
     base.follow(
         ObjectKind::Evacuations,
-        Following::seconds_late,
+        FollowOptions::delayed,
         move |news| {
             for object in news.changes.into_iter().flat_map(Change::into_objects) {
                 if !object.reported {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -29,7 +29,7 @@
 use crate::relay::RoutingDigest;
 use crate::relay::SEED_WATCH_WAIT;
 use crate::relay::path_name_of;
-use crate::roster::Standing;
+use crate::roster::LocalMember;
 use crate::store::Store;
 
 /// How long one watch may wait. A store that drops its history lets the watches that
@@ -55,7 +55,7 @@
 
 /// How a kind is followed now; asked anew before each call.
 #[derive(Debug, Clone, Copy)]
-pub struct Following {
+pub struct FollowOptions {
     /// How old its answers may be.
     pub freshness: Freshness,
     /// Pause between two watches. Changes in between come in one answer, and each
@@ -64,29 +64,29 @@
     /// The same on a seed.
     pub seed_pause: Duration,
     /// Longest wait of a watch, where answers have to come more often than usual.
-    pub watch_most: Option<Duration>,
+    pub max_watch: Option<Duration>,
 }
 
-impl Following {
+impl FollowOptions {
     /// Every change at once.
     #[must_use]
-    pub const fn at_once() -> Self {
+    pub const fn immediate() -> Self {
         Self {
             freshness: Freshness::Newest,
             pause: Duration::ZERO,
             seed_pause: Duration::ZERO,
-            watch_most: None,
+            max_watch: None,
         }
     }
 
     /// Changes that may be known seconds late, at a tenth of the price.
     #[must_use]
-    pub const fn seconds_late() -> Self {
+    pub const fn delayed() -> Self {
         Self {
             freshness: Freshness::Seconds,
             pause: Duration::ZERO,
             seed_pause: Duration::ZERO,
-            watch_most: None,
+            max_watch: None,
         }
     }
 }
@@ -94,14 +94,14 @@
 /// Nodes that pass on what the store shows; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Seeds {
-    now: Arc<ArcSwap<SeedsNow>>,
+    current: Arc<ArcSwap<SeedSet>>,
 }
 
 /// Seeds as they are now.
 #[derive(Debug, Clone, Default)]
-pub struct SeedsNow {
+pub struct SeedSet {
     /// Seeds to ask, without this node; none where the store is always asked.
-    pub asked: Vec<SocketAddr>,
+    pub polled: Vec<SocketAddr>,
     /// All seeds but this node, where they are asked at all.
     pub others: Vec<SocketAddr>,
     /// This node is a seed that others ask.
@@ -110,20 +110,20 @@
 
 impl Seeds {
     /// Other seeds from now on.
-    pub fn set(&self, now: SeedsNow) {
-        self.now.store(Arc::new(now));
+    pub fn set(&self, seeds: SeedSet) {
+        self.current.store(Arc::new(seeds));
     }
 
     /// The seeds now.
     #[must_use]
-    pub fn now(&self) -> Arc<SeedsNow> {
-        self.now.load_full()
+    pub fn current(&self) -> Arc<SeedSet> {
+        self.current.load_full()
     }
 
     /// One of the seeds, by turns.
-    pub(crate) fn turn(&self, turn: usize) -> Option<SocketAddr> {
-        let asked = &self.now.load().asked;
-        asked.get(turn.checked_rem(asked.len())?).copied()
+    pub(crate) fn round_robin(&self, index: usize) -> Option<SocketAddr> {
+        let polled = &self.current.load().polled;
+        polled.get(index.checked_rem(polled.len())?).copied()
     }
 }
 
@@ -141,7 +141,7 @@
     /// What this node wants to know of upstreams.
     pub interest: Arc<Interest>,
     /// What it tells seeds of itself.
-    pub standing: Standing,
+    pub local_member: LocalMember,
     /// Reads what entries of upstreams say.
     pub dialect: Arc<dyn Dialect>,
     /// Whether the store turns this node away.
@@ -158,7 +158,7 @@
 
 /// What a follower tells of its kind.
 #[derive(Debug)]
-pub struct News {
+pub struct ChangeBatch {
     /// What has changed, in order.
     pub changes: Vec<Change>,
     /// With these changes all that the store had then is known, on the clock that counts
@@ -216,17 +216,17 @@
 /// Changes up to a revision.
 pub(crate) struct Update {
     pub(crate) revision: u64,
-    pub(crate) news: News,
+    pub(crate) batch: ChangeBatch,
 }
 
 /// Follows a kind and tells `take` of its changes, as they come together. Never ends.
 pub async fn follow(
     sources: Sources,
     kind: ObjectKind,
-    how: impl Fn() -> Following,
-    mut take: impl FnMut(News),
+    how: impl Fn() -> FollowOptions,
+    mut take: impl FnMut(ChangeBatch),
 ) {
-    let next_seed = rand::rng().random_range(0..sources.seeds.now().asked.len().max(1));
+    let next_seed = rand::rng().random_range(0..sources.seeds.current().polled.len().max(1));
     let subscription = sources.interest.subscription();
     let mut follower = Follower {
         subscription,
@@ -268,7 +268,7 @@
         follower.sources.outage.answered();
         follower.newest = follower.newest.max(update.revision);
         follower.since = Some(follower.newest);
-        take(update.news);
+        take(update.batch);
     }
 }
 
@@ -297,7 +297,7 @@
     ///
     /// A watch that broke off is not begun again: a store that is about to drop its
     /// history lets such a watch wait and tells it nothing, for seconds.
-    async fn ask_store(&mut self, how: Following) -> Result<Update, StoreError> {
+    async fn ask_store(&mut self, how: FollowOptions) -> Result<Update, StoreError> {
         self.sources.outage.wait(self.kind).await;
         let update = match self.since.filter(|_| !self.gap) {
             // The newest list: while the store drops its history, the revision of a
@@ -314,7 +314,7 @@
                 objects.retain(|object| self.is_wanted(object));
                 Update {
                     revision,
-                    news: News {
+                    batch: ChangeBatch {
                         extent,
                         changes: vec![Change::All(objects)],
                         as_of: Some(sent),
@@ -331,11 +331,11 @@
                 .event("store_regained", &[("kind", &kind)]);
         }
         let now = self.sources.clock.now();
-        if self.sources.seeds.now().is_seed {
-            let (relay, changes) = (&self.sources.relay, &update.news.changes);
+        if self.sources.seeds.current().is_seed {
+            let (relay, changes) = (&self.sources.relay, &update.batch.changes);
             let digest_of = |object: &Object| self.digest_of(object);
             relay.apply(now, self.kind, update.revision, changes, digest_of);
-            relay.record_as_of(self.kind, update.news.as_of);
+            relay.record_as_of(self.kind, update.batch.as_of);
         }
         Ok(update)
     }
@@ -361,10 +361,10 @@
         Some(RoutingDigest::of_upstream(&upstream))
     }
 
-    async fn watch(&self, since: u64, how: Following) -> Result<Update, StoreError> {
-        let seeds = self.sources.seeds.now();
+    async fn watch(&self, since: u64, how: FollowOptions) -> Result<Update, StoreError> {
+        let seeds = self.sources.seeds.current();
         let is_seed = seeds.is_seed && path_name_of(self.kind).is_some();
-        let many = !seeds.asked.is_empty();
+        let many = !seeds.polled.is_empty();
         let pause = if is_seed { how.seed_pause } else { how.pause };
         tokio::time::sleep(pause).await;
         // Others trust what a seed passes on. Homes of models may be old for them too.
@@ -381,7 +381,7 @@
             Freshness::Newest => WATCH_WAIT,
             Freshness::Seconds => STALE_WATCH_WAIT,
         };
-        let wait = how.watch_most.map_or(wait, |most| wait.min(most));
+        let wait = how.max_watch.map_or(wait, |most| wait.min(most));
         let watch = StoreCall::Watch {
             kind: self.kind,
             since,
@@ -402,7 +402,7 @@
                 });
                 Ok(Update {
                     revision,
-                    news: News {
+                    batch: ChangeBatch {
                         extent: Extent::default(),
                         changes: changes.collect(),
                         as_of: (freshness == Freshness::Newest).then_some(sent),
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -11,10 +11,10 @@
 use rand::Rng;
 
 use crate::dialect::ObjectKind;
+use crate::follow::ChangeBatch;
 use crate::follow::Extent;
 use crate::follow::FleetSize;
 use crate::follow::Follower;
-use crate::follow::News;
 use crate::follow::Update;
 use crate::interest::Subscription;
 use crate::relay::POLL_TIMEOUT;
@@ -41,7 +41,7 @@
         let until = self.sources.clock.now() + SEEDS_START;
         let name = path_name_of(self.kind)?;
         while self.sources.clock.now() < until {
-            let seed = self.sources.seeds.turn(self.next_seed)?;
+            let seed = self.sources.seeds.round_robin(self.next_seed)?;
             let relay_answer = self.ask_seed(seed, name).await;
             if self.take_interest() {
                 continue;
@@ -66,8 +66,8 @@
         }
         self.seeds_answer = false;
         let mut old = None;
-        for _ in 0..self.sources.seeds.now().asked.len() {
-            let seed = self.sources.seeds.turn(self.next_seed)?;
+        for _ in 0..self.sources.seeds.current().polled.len() {
+            let seed = self.sources.seeds.round_robin(self.next_seed)?;
             let relay_answer = self.ask_seed(seed, name).await;
             // The question has changed since; its answer is of no use.
             if self.take_interest() {
@@ -92,7 +92,7 @@
     pub(crate) fn leaves_list_to_seeds(&mut self) -> bool {
         // A watch is a single call; only lists can overload the store.
         let needs_list = self.since.is_none() || self.gap;
-        let asks_seeds = !self.sources.seeds.now().asked.is_empty();
+        let asks_seeds = !self.sources.seeds.current().polled.is_empty();
         if self.kind != ObjectKind::Upstreams || !needs_list || !asks_seeds {
             return false;
         }
@@ -142,7 +142,7 @@
     fn taken_from(&self, relay_answer: RelayAnswer, as_of: Option<Duration>) -> Update {
         Update {
             revision: relay_answer.revision,
-            news: News {
+            batch: ChangeBatch {
                 extent: Extent {
                     total_objects: Some(relay_answer.total_objects),
                     is_complete: relay_answer
@@ -164,7 +164,7 @@
         *request.uri_mut() = format!("{RELAY_PATH}{name}?{query}").parse().ok()?;
         // Questions for one kind are enough to announce this node as a member.
         if self.kind == ObjectKind::Duties
-            && let Some(member) = self.sources.standing.header()
+            && let Some(member) = self.sources.local_member.header()
         {
             request.headers_mut().insert(MEMBER, member);
         }
@@ -177,7 +177,7 @@
         let relay_answer: RelayAnswer = serde_json::from_slice(answer.body()).ok()?;
         self.seeds_answer = true;
         // A seed counts only the nodes that ask it; nodes are spread evenly over the seeds.
-        let seeds = self.sources.seeds.now().asked.len();
+        let seeds = self.sources.seeds.current().polled.len();
         self.fleet_size = Some(FleetSize {
             nodes: relay_answer.nodes.saturating_mul(seeds),
             objects: relay_answer.total_objects,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -34,10 +34,10 @@
 use crate::fleet::Fleet;
 use crate::fleet::FleetParts;
 use crate::fleet::UpstreamList;
-use crate::follow::Following;
-use crate::follow::News;
+use crate::follow::ChangeBatch;
+use crate::follow::FollowOptions;
+use crate::follow::SeedSet;
 use crate::follow::Seeds;
-use crate::follow::SeedsNow;
 use crate::follow::Sources;
 use crate::follow::follow;
 use crate::holder::DutyHolder;
@@ -51,8 +51,8 @@
 use crate::reload;
 use crate::reload::InForce;
 use crate::reload::Reload;
+use crate::roster::LocalMember;
 use crate::roster::Roster;
-use crate::roster::Standing;
 use crate::scaling::scaler::Scaler;
 use crate::scaling::scaler::ScalerParts;
 use crate::scoring::Scoring;
@@ -158,7 +158,7 @@
             seeds: Seeds::default(),
             relay: Arc::new(Relay::new(max_age_for(settings.max_propagation_delay()))),
             interest: Arc::default(),
-            standing: standing_of(&settings),
+            local_member: local_member_of(&settings),
             dialect: Arc::clone(&dialect),
             outage: Outage::default(),
             store_reads_per_s: settings.store_reads_per_s,
@@ -195,7 +195,7 @@
         let settings = self.in_force.now();
         self.detour.set_nodes(detour_nodes(&settings));
         let seeds = seeds_now(&settings);
-        let follows_store = seeds.asked.is_empty();
+        let follows_store = seeds.polled.is_empty();
         self.sources.seeds.set(seeds);
         let interest = &self.sources.interest;
         interest.set_follows_store(follows_store);
@@ -204,8 +204,8 @@
     pub(crate) fn follow(
         &self,
         kind: ObjectKind,
-        how: impl Fn() -> Following + Send + Sync + 'static,
-        take: impl FnMut(News) + Send + 'static,
+        how: impl Fn() -> FollowOptions + Send + Sync + 'static,
+        take: impl FnMut(ChangeBatch) + Send + 'static,
     ) {
         self.tasks
             .spawn(follow(self.sources.clone(), kind, how, take));
@@ -227,19 +227,19 @@
             }
         }
         self.journal.event("drain_started", &[]);
-        self.sources.standing.set_takes_steps(false);
+        self.sources.local_member.set_takes_steps(false);
         self.tasks.drain();
         Ok(())
     }
 }
 
 /// What this node tells seeds of itself.
-fn standing_of(settings: &NodeSettings) -> Standing {
+fn local_member_of(settings: &NodeSettings) -> LocalMember {
     let runner = settings.peer_listen.map(|address| NodeRef {
         node: settings.node.clone(),
         address,
     });
-    Standing::new(runner, settings.vm.capacity())
+    LocalMember::new(runner, settings.vm.capacity())
 }
 
 /// Nodes through which calls of the store may go: the seeds without this node.
@@ -255,7 +255,7 @@
 
 /// Where this node follows the store: from seeds only where upstreams that leave may
 /// get requests for as long as a dead seed goes unnoticed.
-fn seeds_now(settings: &NodeSettings) -> SeedsNow {
+fn seeds_now(settings: &NodeSettings) -> SeedSet {
     let is_on =
         EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Seeds);
     let relayed = is_on && settings.leaving() >= RELAY_FROM;
@@ -264,8 +264,8 @@
     let seeds = settings.seeds.iter().copied();
     let others = seeds.filter(|seed| relayed && own.is_some_and(|own| own != *seed));
     let others: Vec<SocketAddr> = others.collect();
-    SeedsNow {
-        asked: if is_seed { Vec::new() } else { others.clone() },
+    SeedSet {
+        polled: if is_seed { Vec::new() } else { others.clone() },
         others,
         is_seed: relayed && is_seed,
     }
@@ -485,7 +485,7 @@
     let scoring = node.scoring.clone();
     let interest = Arc::clone(&base.sources.interest);
     let settings = base.in_force.clone();
-    let (standing, tasks) = (base.sources.standing.clone(), base.tasks.clone());
+    let (local_member, tasks) = (base.sources.local_member.clone(), base.tasks.clone());
     let (relay, configured) = (Arc::clone(&base.sources.relay), Arc::clone(&fleet));
     let how = move || {
         let has_accounts = !configured.config().accounts.is_empty();
@@ -494,9 +494,9 @@
             ObjectKind::Configuration,
             limits.map(|limits| limits.max_hold),
         );
-        Following {
-            watch_most: limits.map(|limits| limits.max_watch),
-            ..Following::at_once()
+        FollowOptions {
+            max_watch: limits.map(|limits| limits.max_watch),
+            ..FollowOptions::immediate()
         }
     };
     base.follow(ObjectKind::Configuration, how, move |news| {
@@ -505,7 +505,7 @@
         }
         fleet.record_config_confirmed(news.as_of);
         interest.set_config(&fleet.config());
-        standing.set_takes_steps(!tasks.is_draining());
+        local_member.set_takes_steps(!tasks.is_draining());
         live.update_upstreams();
         scoring.update_upstreams();
     });
@@ -516,14 +516,14 @@
     let drafting = node.drafting.clone();
     let interest = Arc::clone(&base.sources.interest);
     let idle_pause = base.settings.leaving().mul_f64(IDLE_PAUSE_PART);
-    let how = move || Following {
+    let how = move || FollowOptions {
         pause: if drafting.is_busy() {
             Duration::ZERO
         } else {
             idle_pause
         },
         seed_pause: SEED_PAUSE,
-        ..Following::at_once()
+        ..FollowOptions::immediate()
     };
     base.follow(ObjectKind::Upstreams, how, move |news| {
         let mut list = followed
@@ -545,13 +545,13 @@
     });
     let fleet = Arc::clone(&node.fleet);
     let holder = node.holder.clone();
-    let how = move || Following {
+    let how = move || FollowOptions {
         freshness: if holder.holds_duty() {
             Freshness::Newest
         } else {
             Freshness::Seconds
         },
-        ..Following::at_once()
+        ..FollowOptions::immediate()
     };
     base.follow(ObjectKind::WeightVersions, how, move |news| {
         for change in news.changes {
@@ -559,7 +559,7 @@
         }
     });
     let (homes, holder) = (node.homes.clone(), node.holder.clone());
-    let how = Following::seconds_late;
+    let how = FollowOptions::delayed;
     base.follow(ObjectKind::Duties, how, move |news| {
         for change in news.changes {
             holder.apply_change(&change);
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -92,13 +92,13 @@
 
 /// What this node tells of itself; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Standing {
+pub struct LocalMember {
     runner: Option<NodeRef>,
     capacity: f64,
     takes_steps: Arc<AtomicBool>,
 }
 
-impl Standing {
+impl LocalMember {
     /// A node that takes no steps yet, or never if it takes no other nodes.
     #[must_use]
     pub fn new(runner: Option<NodeRef>, capacity: f64) -> Self {
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -51,7 +51,7 @@
             model: model.to_owned(),
             but: excluded,
         };
-        let seeds = self.seeds.now();
+        let seeds = self.seeds.current();
         let own = seeds.is_seed.then(|| self.local_offer(&question)).flatten();
         let requests = seeds
             .others
--- a/crates/node/src/vitals.rs
+++ b/crates/node/src/vitals.rs
@@ -67,7 +67,7 @@
             "node_load",
             &[
                 ("homes", &own.count()),
-                ("seed", &self.seeds.now().is_seed),
+                ("seed", &self.seeds.current().is_seed),
                 ("orders", &self.holder.holds_duty()),
                 ("upstreams", &self.fleet.upstreams().len()),
                 // Zero where the system does not tell.
--- a/crates/node/tests/roster.rs
+++ b/crates/node/tests/roster.rs
@@ -5,10 +5,10 @@
 use std::time::Instant;
 
 use firweir_node::roster::HomeQuestion;
+use firweir_node::roster::LocalMember;
 use firweir_node::roster::Member;
 use firweir_node::roster::Roster;
 use firweir_node::roster::Settled;
-use firweir_node::roster::Standing;
 use firweir_node::submission::records::NodeRef;
 
 fn address(node: u16) -> SocketAddr {
@@ -153,13 +153,13 @@
 #[test]
 fn what_a_node_tells_is_small() {
     let runner = member(1, 1.0).runner;
-    let standing = Standing::new(Some(runner), 0.06);
-    let header = standing.header().expect("it takes other nodes");
+    let local_member = LocalMember::new(Some(runner), 0.06);
+    let header = local_member.header().expect("it takes other nodes");
     assert!(header.len() < 200, "{} bytes", header.len());
     let told: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
     assert!(!told.takes_steps, "it knows no configuration yet");
-    standing.set_takes_steps(true);
-    let header = standing.header().expect("as before");
+    local_member.set_takes_steps(true);
+    let header = local_member.header().expect("as before");
     let told: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
     assert!(told.takes_steps);
 }
