--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -16,9 +16,6 @@
 
 use crate::connection_pool::CallError;
 use crate::connection_pool::ConnectionPool;
-use crate::detour::Detour;
-use crate::detour::DetourFailure;
-use crate::detour::to_node;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
 use crate::dialect::Object;
@@ -26,6 +23,9 @@
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
+use crate::store_fallback::Detour;
+use crate::store_fallback::DetourFailure;
+use crate::store_fallback::to_node;
 
 /// The store answers in milliseconds; past this it counts as not answering.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/node/tests/vitals.rs
+++ b/crates/node/tests/load_logger.rs
@@ -1,7 +1,7 @@
 //! What the system tells of a process.
 
-use firweir_node::vitals::peak_memory_mb;
-use firweir_node::vitals::processor_time_ms;
+use firweir_node::load_logger::peak_memory_mb;
+use firweir_node::load_logger::processor_time_ms;
 
 #[test]
 fn memory_and_time_are_read() {
--- a/crates/node/tests/detour.rs
+++ b/crates/node/tests/store_fallback.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_node::detour::Detour;
-use firweir_node::detour::DetourFailure;
+use firweir_node::store_fallback::Detour;
+use firweir_node::store_fallback::DetourFailure;
 
 fn node(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
