--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -59,7 +59,7 @@
 use crate::settings::NodeSettings;
 use crate::shared::Shared;
 use crate::store::Store;
-use crate::store_fallback::Detour;
+use crate::store_fallback::StoreFallback;
 use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::manager::SubmissionManager;
@@ -121,7 +121,7 @@
     /// Settings of the start.
     pub(crate) settings: NodeSettings,
     in_force: InForce,
-    detour: Detour,
+    fallback: StoreFallback,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     pub(crate) journal: Journal,
@@ -142,7 +142,7 @@
         let connections = ConnectionPool::new(Arc::clone(&clock));
         let start_ms = clock.since_epoch().as_millis();
         let writer = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
-        let detour = Detour::new(detour_nodes(&settings));
+        let fallback = StoreFallback::new(fallback_nodes(&settings));
         let store = Store::new(
             Arc::clone(&dialect),
             connections.clone(),
@@ -150,7 +150,7 @@
             Arc::clone(&clock),
             journal.clone(),
             &writer,
-            detour.clone(),
+            fallback.clone(),
         );
         let sources = Sources {
             store: store.clone(),
@@ -175,7 +175,7 @@
             mechanisms,
             exposition,
             sources,
-            detour,
+            fallback,
             in_force: InForce::new(settings.clone()),
             settings,
             dialect,
@@ -193,7 +193,7 @@
     /// Goes by the seeds of the settings in force.
     fn take_seeds(&self) {
         let settings = self.in_force.now();
-        self.detour.set_nodes(detour_nodes(&settings));
+        self.fallback.set_nodes(fallback_nodes(&settings));
         let seeds = seeds_now(&settings);
         let follows_store = seeds.polled.is_empty();
         self.sources.seeds.set(seeds);
@@ -243,7 +243,7 @@
 }
 
 /// Nodes through which calls of the store may go: the seeds without this node.
-fn detour_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
+fn fallback_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
     let own = settings.peer_listen;
     let is_on =
         EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Detour);
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -57,7 +57,7 @@
 use crate::roster::MEMBER;
 use crate::roster::Member;
 use crate::scoring::Scoring;
-use crate::store_fallback::path_for_store;
+use crate::store_fallback::store_uri_from_peer;
 use crate::submission::accept::SubmissionRequest;
 use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
@@ -218,7 +218,7 @@
         if head.uri.path() == USAGE_PATH {
             return self.usage(&head, body).await;
         }
-        if let Some(uri) = path_for_store(&head.uri) {
+        if let Some(uri) = store_uri_from_peer(&head.uri) {
             return self.call_store(uri, &head, body).await;
         }
         if let Some(name) = head.uri.path().strip_prefix(RELAY_PATH) {
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -23,9 +23,9 @@
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
-use crate::store_fallback::Detour;
-use crate::store_fallback::DetourFailure;
-use crate::store_fallback::to_node;
+use crate::store_fallback::FallbackFailure;
+use crate::store_fallback::StoreFallback;
+use crate::store_fallback::to_peer_uri;
 
 /// The store answers in milliseconds; past this it counts as not answering.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -60,7 +60,7 @@
     writer: Arc<str>,
     writes: Arc<AtomicU64>,
     journal: Journal,
-    detour: Detour,
+    fallback: StoreFallback,
 }
 
 impl Store {
@@ -73,7 +73,7 @@
         clock: Arc<dyn Clock>,
         journal: Journal,
         writer: &str,
-        detour: Detour,
+        fallback: StoreFallback,
     ) -> Self {
         Self {
             dialect,
@@ -83,7 +83,7 @@
             writer: writer.into(),
             writes: Arc::default(),
             journal,
-            detour,
+            fallback,
         }
     }
 
@@ -122,7 +122,7 @@
         call: &StoreCall,
         timeout: Duration,
     ) -> Result<StoreAnswer, StoreError> {
-        if let Some(node) = self.detour.current(self.clock.now()) {
+        if let Some(node) = self.fallback.current(self.clock.now()) {
             let answer = self.call_through(node, call, timeout).await;
             if !is_unavailable(&answer) {
                 return answer;
@@ -130,14 +130,14 @@
         }
         let direct = self.call_at(self.address, call, timeout, false).await;
         if !is_unavailable(&direct) {
-            self.detour.is_not_needed();
+            self.fallback.record_direct_success();
             return direct;
         }
         // A watch that broke off is for its follower, who lists anew.
         if matches!(call, StoreCall::Watch { .. }) {
             return direct;
         }
-        let Some(node) = self.detour.another(self.clock.now()) else {
+        let Some(node) = self.fallback.next_node(self.clock.now()) else {
             return direct;
         };
         let answer = self.call_through(node, call, timeout).await;
@@ -158,12 +158,14 @@
         let now = self.clock.now();
         match &answer {
             Err(StoreError::Refused(_)) => {
-                self.detour.failed(now, node, DetourFailure::TurnedAway);
+                self.fallback
+                    .record_failure(now, node, FallbackFailure::StoreRefused);
             }
             Err(StoreError::Unreachable | StoreError::Unknown) => {
-                self.detour.failed(now, node, DetourFailure::NoAnswer);
+                self.fallback
+                    .record_failure(now, node, FallbackFailure::NoAnswer);
             }
-            Ok(_) | Err(_) => self.detour.worked(now, node),
+            Ok(_) | Err(_) => self.fallback.record_success(now, node),
         }
         answer
     }
@@ -177,7 +179,7 @@
     ) -> Result<StoreAnswer, StoreError> {
         let mut request = self.dialect.store_request(call);
         if through_node {
-            to_node(&mut request);
+            to_peer_uri(&mut request);
         }
         match self.connections.call(to, request, timeout).await {
             Ok(answer) => self.dialect.store_answer(call, &answer),
--- a/crates/node/src/store_fallback.rs
+++ b/crates/node/src/store_fallback.rs
@@ -21,7 +21,7 @@
 use http::Uri;
 
 /// Begin of the paths at which a node makes calls of the store for others.
-pub const DETOUR_PATH: &str = "/peer/store";
+pub const PEER_STORE_PATH: &str = "/peer/store";
 
 /// Calls take the detour for this long, then one call tries the store again: if it finds
 /// the path still cut that costs its time limit.
@@ -37,11 +37,11 @@
 
 /// How a call through a node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DetourFailure {
+pub enum FallbackFailure {
     /// The node did not answer.
     NoAnswer,
     /// The store turns the node away too.
-    TurnedAway,
+    StoreRefused,
 }
 
 #[derive(Debug, Default)]
@@ -57,17 +57,17 @@
 
 /// Which way calls of the store take; cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Detour {
+pub struct StoreFallback {
     state: Arc<Mutex<State>>,
 }
 
-impl Detour {
+impl StoreFallback {
     /// Detours through these nodes.
     #[must_use]
     pub fn new(nodes: Vec<SocketAddr>) -> Self {
-        let detour = Self::default();
-        detour.set_nodes(nodes);
-        detour
+        let fallback = Self::default();
+        fallback.set_nodes(nodes);
+        fallback
     }
 
     /// Other nodes from now on.
@@ -89,13 +89,13 @@
 
     /// A node to try after the store itself has failed: the one that worked last, if any.
     #[must_use]
-    pub fn another(&self, now: Instant) -> Option<SocketAddr> {
+    pub fn next_node(&self, now: Instant) -> Option<SocketAddr> {
         let mut state = self.lock();
         state.left_alone.retain(|(_, until)| *until > now);
         let is_left_alone =
             |node: &SocketAddr| state.left_alone.iter().any(|(held, _)| held == node);
-        let worked = state.through.map(|(node, _)| node);
-        if let Some(node) = worked.filter(|node| !is_left_alone(node)) {
+        let last_successful = state.through.map(|(node, _)| node);
+        if let Some(node) = last_successful.filter(|node| !is_left_alone(node)) {
             return Some(node);
         }
         let count = state.nodes.len();
@@ -106,7 +106,7 @@
     }
 
     /// A call through this node was answered.
-    pub fn worked(&self, now: Instant, node: SocketAddr) {
+    pub fn record_success(&self, now: Instant, node: SocketAddr) {
         let mut state = self.lock();
         if state
             .through
@@ -117,12 +117,12 @@
     }
 
     /// A call through this node failed.
-    pub fn failed(&self, now: Instant, node: SocketAddr, failure: DetourFailure) {
+    pub fn record_failure(&self, now: Instant, node: SocketAddr, failure: FallbackFailure) {
         let mut state = self.lock();
         let until = now + LEFT_ALONE_FOR;
         match failure {
-            DetourFailure::NoAnswer => state.left_alone.push((node, until)),
-            DetourFailure::TurnedAway => {
+            FallbackFailure::NoAnswer => state.left_alone.push((node, until)),
+            FallbackFailure::StoreRefused => {
                 let all: Vec<_> = state.nodes.iter().map(|node| (*node, until)).collect();
                 state.left_alone.extend(all);
             }
@@ -131,7 +131,7 @@
     }
 
     /// The store itself answered.
-    pub fn is_not_needed(&self) {
+    pub fn record_direct_success(&self) {
         self.lock().through = None;
     }
 
@@ -141,19 +141,22 @@
 }
 
 /// Turns a call of the store into one for a node that makes it.
-pub fn to_node<B>(request: &mut Request<B>) {
+pub fn to_peer_uri<B>(request: &mut Request<B>) {
     let path = request
         .uri()
         .path_and_query()
         .map_or("/", |path| path.as_str());
-    if let Ok(uri) = format!("{DETOUR_PATH}{path}").parse() {
+    if let Ok(uri) = format!("{PEER_STORE_PATH}{path}").parse() {
         *request.uri_mut() = uri;
     }
 }
 
 /// The path of the call that a node is asked to make.
 #[must_use]
-pub fn path_for_store(uri: &Uri) -> Option<Uri> {
-    let path = uri.path_and_query()?.as_str().strip_prefix(DETOUR_PATH)?;
+pub fn store_uri_from_peer(uri: &Uri) -> Option<Uri> {
+    let path = uri
+        .path_and_query()?
+        .as_str()
+        .strip_prefix(PEER_STORE_PATH)?;
     path.parse().ok()
 }
--- a/crates/node/tests/store_fallback.rs
+++ b/crates/node/tests/store_fallback.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_node::store_fallback::Detour;
-use firweir_node::store_fallback::DetourFailure;
+use firweir_node::store_fallback::FallbackFailure;
+use firweir_node::store_fallback::StoreFallback;
 
 fn node(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
@@ -19,37 +19,41 @@
 #[test]
 fn a_failure_through_one_node_leaves_the_way_through_another() {
     let start = Instant::now();
-    let detour = Detour::new(vec![node(1), node(2), node(3)]);
-    let first = detour.another(start).expect("a node");
-    let second = detour.another(after(start, 5)).expect("a node");
+    let fallback = StoreFallback::new(vec![node(1), node(2), node(3)]);
+    let first = fallback.next_node(start).expect("a node");
+    let second = fallback.next_node(after(start, 5)).expect("a node");
     assert_ne!(first, second, "two calls at once try two nodes");
-    detour.worked(after(start, 20), second);
-    detour.failed(after(start, 1_000), first, DetourFailure::NoAnswer);
-    assert_eq!(detour.current(after(start, 1_100)), Some(second));
+    fallback.record_success(after(start, 20), second);
+    fallback.record_failure(after(start, 1_000), first, FallbackFailure::NoAnswer);
+    assert_eq!(fallback.current(after(start, 1_100)), Some(second));
 }
 
 #[test]
 fn one_call_tries_the_store_again() {
     let start = Instant::now();
-    let detour = Detour::new(vec![node(1), node(2)]);
-    let through = detour.another(start).expect("a node");
-    detour.worked(start, through);
-    assert_eq!(detour.current(after(start, 2_900)), Some(through));
-    assert_eq!(detour.current(after(start, 3_100)), None, "this one tries");
-    assert_eq!(detour.current(after(start, 3_200)), Some(through));
+    let fallback = StoreFallback::new(vec![node(1), node(2)]);
+    let through = fallback.next_node(start).expect("a node");
+    fallback.record_success(start, through);
+    assert_eq!(fallback.current(after(start, 2_900)), Some(through));
+    assert_eq!(
+        fallback.current(after(start, 3_100)),
+        None,
+        "this one tries"
+    );
+    assert_eq!(fallback.current(after(start, 3_200)), Some(through));
     // The path is still cut: the call goes the way that worked.
-    assert_eq!(detour.another(after(start, 4_100)), Some(through));
-    detour.worked(after(start, 4_110), through);
-    assert_eq!(detour.current(after(start, 6_000)), Some(through));
+    assert_eq!(fallback.next_node(after(start, 4_100)), Some(through));
+    fallback.record_success(after(start, 4_110), through);
+    assert_eq!(fallback.current(after(start, 6_000)), Some(through));
     // The path is back.
-    assert_eq!(detour.current(after(start, 7_200)), None);
-    detour.is_not_needed();
-    assert_eq!(detour.current(after(start, 7_300)), None);
+    assert_eq!(fallback.current(after(start, 7_200)), None);
+    fallback.record_direct_success();
+    assert_eq!(fallback.current(after(start, 7_300)), None);
 }
 
 struct Case {
     name: &'static str,
-    failures: &'static [(u8, DetourFailure)],
+    failures: &'static [(u8, FallbackFailure)],
     after_ms: u64,
     tries: Option<u8>,
 }
@@ -59,40 +63,40 @@
     let cases = [
         Case {
             name: "one that does not answer is left alone",
-            failures: &[(2, DetourFailure::NoAnswer)],
+            failures: &[(2, FallbackFailure::NoAnswer)],
             after_ms: 100,
             tries: Some(3),
         },
         Case {
             name: "the store is down: one that is turned away speaks for all",
-            failures: &[(2, DetourFailure::TurnedAway)],
+            failures: &[(2, FallbackFailure::StoreRefused)],
             after_ms: 100,
             tries: None,
         },
         Case {
             name: "none answers",
             failures: &[
-                (1, DetourFailure::NoAnswer),
-                (2, DetourFailure::NoAnswer),
-                (3, DetourFailure::NoAnswer),
+                (1, FallbackFailure::NoAnswer),
+                (2, FallbackFailure::NoAnswer),
+                (3, FallbackFailure::NoAnswer),
             ],
             after_ms: 100,
             tries: None,
         },
         Case {
             name: "all are tried again later",
-            failures: &[(2, DetourFailure::TurnedAway)],
+            failures: &[(2, FallbackFailure::StoreRefused)],
             after_ms: 1_600,
             tries: Some(2),
         },
     ];
     for case in cases {
         let start = Instant::now();
-        let detour = Detour::new(vec![node(1), node(2), node(3)]);
+        let fallback = StoreFallback::new(vec![node(1), node(2), node(3)]);
         for (number, failure) in case.failures {
-            detour.failed(start, node(*number), *failure);
+            fallback.record_failure(start, node(*number), *failure);
         }
-        let tried = detour.another(after(start, case.after_ms));
+        let tried = fallback.next_node(after(start, case.after_ms));
         assert_eq!(tried, case.tries.map(node), "{}", case.name);
     }
 }
