--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -50,7 +50,7 @@
 use crate::reload;
 use crate::reload::InForce;
 use crate::reload::Reload;
-use crate::request_handler::Door;
+use crate::request_handler::RequestHandler;
 use crate::roster::LocalMember;
 use crate::roster::Roster;
 use crate::scaling::scaler::Scaler;
@@ -292,9 +292,30 @@
     start_followers(&base, &node);
     let outlive = settings.grace().saturating_sub(END_BEFORE_KILL);
     let linger = outlive.saturating_sub(FINISH_CLIENTS);
-    let clients = serve(&base, &node, client_listen, linger, Door::client).await?;
-    let ready = serve(&base, &node, ready_listen, outlive, Door::client).await?;
-    let peers = serve(&base, &node, peer_listen, outlive, Door::peer).await?;
+    let clients = serve(
+        &base,
+        &node,
+        client_listen,
+        linger,
+        RequestHandler::handle_client,
+    )
+    .await?;
+    let ready = serve(
+        &base,
+        &node,
+        ready_listen,
+        outlive,
+        RequestHandler::handle_client,
+    )
+    .await?;
+    let peers = serve(
+        &base,
+        &node,
+        peer_listen,
+        outlive,
+        RequestHandler::handle_peer,
+    )
+    .await?;
     serve_metrics(&base).await?;
     base.tasks.spawn(ready);
     base.tasks.spawn(peers);
@@ -334,7 +355,7 @@
     Ok(())
 }
 
-fn build(base: &Base, peer_listen: SocketAddr) -> Arc<Door> {
+fn build(base: &Base, peer_listen: SocketAddr) -> Arc<RequestHandler> {
     let me = NodeRef {
         node: base.settings.node.clone(),
         address: peer_listen,
@@ -457,7 +478,7 @@
         journal: journal.clone(),
     };
     base.tasks.spawn(vitals.run());
-    Arc::new(Door {
+    Arc::new(RequestHandler {
         dialect: Arc::clone(dialect),
         fleet,
         live,
@@ -480,7 +501,7 @@
     })
 }
 
-fn start_followers(base: &Base, node: &Arc<Door>) {
+fn start_followers(base: &Base, node: &Arc<RequestHandler>) {
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
     let scoring = node.scoring.clone();
     let interest = Arc::clone(&base.sources.interest);
@@ -590,13 +611,13 @@
 
 async fn serve<F, A>(
     base: &Base,
-    node: &Arc<Door>,
+    node: &Arc<RequestHandler>,
     at: SocketAddr,
     linger: Duration,
     answer: F,
 ) -> io::Result<impl Future<Output = ()> + Send + use<F, A>>
 where
-    F: Fn(Arc<Door>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
+    F: Fn(Arc<RequestHandler>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
     A: Future<Output = Response<Body>> + Send + 'static,
 {
     let node = Arc::clone(node);
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -95,7 +95,7 @@
 
 /// Answers clients, the balancer and other nodes with the parts of this node.
 #[derive(Debug)]
-pub(crate) struct Door {
+pub(crate) struct RequestHandler {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) live: Arc<LiveCalls>,
@@ -118,9 +118,12 @@
     pub(crate) mechanisms: EnabledMechanisms,
 }
 
-impl Door {
+impl RequestHandler {
     /// Answers a client, or the balancer.
-    pub(crate) async fn client(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub(crate) async fn handle_client(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<Body> {
         let (head, body) = request.into_parts();
         match self.dialect.client_call(&head) {
             ClientCall::Ready => self.ready(),
@@ -207,7 +210,7 @@
     }
 
     /// Answers another node.
-    pub(crate) async fn peer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub(crate) async fn handle_peer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
         if head.uri.path() == PING_PATH {
             return empty(StatusCode::OK);
