--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -11,7 +11,7 @@
 use crate::dialect::ObjectKind;
 use crate::dialect::StoreCall;
 use crate::follow::FollowOptions;
-use crate::node::Base;
+use crate::node::NodeContext;
 use crate::node::NodeError;
 use crate::node::serve_metrics;
 use crate::settings::NodeSettings;
@@ -31,12 +31,12 @@
 ///
 /// Signals cannot be taken.
 pub async fn run_disk(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Result<(), NodeError> {
-    let base = Base::new(settings, dialect);
-    serve_metrics(&base).await?;
-    let store = base.store.clone();
-    let journal = base.journal.clone();
+    let context = NodeContext::new(settings, dialect);
+    serve_metrics(&context).await?;
+    let store = context.store.clone();
+    let journal = context.journal.clone();
     let (asked, mut asking) = tokio::sync::mpsc::unbounded_channel();
-    base.follow(
+    context.follow(
         ObjectKind::Evacuations,
         FollowOptions::delayed,
         move |news| {
@@ -48,7 +48,7 @@
             }
         },
     );
-    base.tasks.spawn(async move {
+    context.tasks.spawn(async move {
         while let Some(object) = asking.recv().await {
             // All such nodes hear of it at the same time, and one report is enough.
             let spread = rand::rng().random_range(0.0..1.0);
@@ -56,9 +56,9 @@
             report_evacuated(&store, &journal, &object.name).await;
         }
     });
-    base.journal.event("node_started", &[]);
-    base.until_terminated().await?;
-    base.journal.event("node_ended", &[]);
+    context.journal.event("node_started", &[]);
+    context.wait_for_termination().await?;
+    context.journal.event("node_ended", &[]);
     Ok(())
 }
 
--- a/crates/node/src/load_logger.rs
+++ b/crates/node/src/load_logger.rs
@@ -28,9 +28,9 @@
 
 /// What tells which roles a node has.
 #[derive(Debug, Clone)]
-pub struct Vitals {
+pub struct LoadLogger {
     /// This node.
-    pub me: NodeRef,
+    pub this_node: NodeRef,
     /// Whether it is a seed.
     pub seeds: Seeds,
     /// Whose home it is.
@@ -43,7 +43,7 @@
     pub journal: Journal,
 }
 
-impl Vitals {
+impl LoadLogger {
     /// Writes a line now and then, for as long as the process lives.
     pub async fn run(self) {
         loop {
@@ -56,13 +56,13 @@
         let settled = self.homes.assignments();
         let own = settled
             .iter()
-            .filter(|held| held.address == self.me.address);
+            .filter(|held| held.address == self.this_node.address);
         let memory_mb = std::fs::read_to_string(STATUS)
             .ok()
             .and_then(|status| peak_memory_mb(&status));
         let cpu_ms = std::fs::read_to_string(STAT)
             .ok()
-            .and_then(|stat| processor_time_ms(&stat));
+            .and_then(|stat| cpu_time_ms(&stat));
         self.journal.event(
             "node_load",
             &[
@@ -90,7 +90,7 @@
 
 /// User and system time, out of [`STAT`].
 #[must_use]
-pub fn processor_time_ms(stat: &str) -> Option<u64> {
+pub fn cpu_time_ms(stat: &str) -> Option<u64> {
     // The name may hold anything, blanks and brackets included.
     let (_, fields) = stat.rsplit_once(')')?;
     let ticks = |place| -> Option<u64> { fields.split_whitespace().nth(place)?.parse().ok() };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -41,7 +41,7 @@
 use crate::holder::DutyHolder;
 use crate::holder::DutyHolderParts;
 use crate::live::LiveCalls;
-use crate::load_logger::Vitals;
+use crate::load_logger::LoadLogger;
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
 use crate::outage::Outage;
@@ -117,7 +117,7 @@
 
 /// What both roles of a VM are built from.
 #[derive(Debug, Clone)]
-pub(crate) struct Base {
+pub(crate) struct NodeContext {
     /// Settings of the start.
     pub(crate) settings: NodeSettings,
     in_force: InForce,
@@ -134,7 +134,7 @@
     mechanisms: EnabledMechanisms,
 }
 
-impl Base {
+impl NodeContext {
     pub(crate) fn new(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let exposition = Exposition::default();
@@ -171,7 +171,7 @@
             let names = format_args!("{:?}", settings.mechanisms_off);
             journal.event("mechanisms_off", &[("names", &names)]);
         }
-        let base = Self {
+        let context = Self {
             mechanisms,
             exposition,
             sources,
@@ -186,8 +186,8 @@
             net: Arc::new(TcpNet),
             tasks: Tasks::new(),
         };
-        base.take_seeds();
-        base
+        context.take_seeds();
+        context
     }
 
     /// Goes by the seeds of the settings in force.
@@ -212,7 +212,7 @@
     }
 
     /// Waits for SIGTERM, and takes in settings that change meanwhile.
-    pub(crate) async fn until_terminated(&self) -> io::Result<()> {
+    pub(crate) async fn wait_for_termination(&self) -> io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
         let mut hang_up = signal(SignalKind::hangup())?;
         let mut reload = Reload::new(self.in_force.clone(), self.journal.clone());
@@ -277,8 +277,8 @@
 ///
 /// The settings lack an address, or it cannot be listened at.
 pub async fn run_front(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Result<(), NodeError> {
-    let base = Base::new(settings, dialect);
-    let settings = &base.settings;
+    let context = NodeContext::new(settings, dialect);
+    let settings = &context.settings;
     let client_listen = settings
         .client_listen
         .ok_or(NodeError::Missing("client_listen"))?;
@@ -288,12 +288,12 @@
     let peer_listen = settings
         .peer_listen
         .ok_or(NodeError::Missing("peer_listen"))?;
-    let node = build(&base, peer_listen);
-    start_followers(&base, &node);
+    let node = build(&context, peer_listen);
+    start_followers(&context, &node);
     let outlive = settings.grace().saturating_sub(END_BEFORE_KILL);
     let linger = outlive.saturating_sub(FINISH_CLIENTS);
     let clients = serve(
-        &base,
+        &context,
         &node,
         client_listen,
         linger,
@@ -301,7 +301,7 @@
     )
     .await?;
     let ready = serve(
-        &base,
+        &context,
         &node,
         ready_listen,
         outlive,
@@ -309,17 +309,18 @@
     )
     .await?;
     let peers = serve(
-        &base,
+        &context,
         &node,
         peer_listen,
         outlive,
         RequestHandler::handle_peer,
     )
     .await?;
-    serve_metrics(&base).await?;
-    base.tasks.spawn(ready);
-    base.tasks.spawn(peers);
-    base.journal
+    serve_metrics(&context).await?;
+    context.tasks.spawn(ready);
+    context.tasks.spawn(peers);
+    context
+        .journal
         .event("node_started", &[("address", &client_listen)]);
     let drained = async {
         clients.await;
@@ -327,7 +328,7 @@
         tokio::time::sleep(outlive.saturating_sub(linger)).await;
     };
     let terminated = async {
-        base.until_terminated().await?;
+        context.wait_for_termination().await?;
         tokio::time::sleep(outlive).await;
         Ok::<(), io::Error>(())
     };
@@ -335,149 +336,149 @@
         () = drained => {}
         ended = terminated => ended?,
     }
-    base.journal.event("node_ended", &[]);
+    context.journal.event("node_ended", &[]);
     Ok(())
 }
 
 /// Serves counters and latencies as text, if the settings say where.
-pub(crate) async fn serve_metrics(base: &Base) -> io::Result<()> {
-    let Some(at) = base.settings.metrics_listen else {
+pub(crate) async fn serve_metrics(context: &NodeContext) -> io::Result<()> {
+    let Some(at) = context.settings.metrics_listen else {
         return Ok(());
     };
-    let exposition = base.exposition.clone();
+    let exposition = context.exposition.clone();
     let handler = server::handler(move |_request| {
         let text = exposition.text();
         Box::pin(async move { bytes_response(StatusCode::OK, text.into()) })
     });
-    let linger = base.settings.grace();
-    let (_, serving) = server::serve(&base.net, &base.tasks, at, linger, handler).await?;
-    base.tasks.spawn(serving);
+    let linger = context.settings.grace();
+    let (_, serving) = server::serve(&context.net, &context.tasks, at, linger, handler).await?;
+    context.tasks.spawn(serving);
     Ok(())
 }
 
-fn build(base: &Base, peer_listen: SocketAddr) -> Arc<RequestHandler> {
-    let me = NodeRef {
-        node: base.settings.node.clone(),
+fn build(context: &NodeContext, peer_listen: SocketAddr) -> Arc<RequestHandler> {
+    let this_node = NodeRef {
+        node: context.settings.node.clone(),
         address: peer_listen,
     };
-    let (clock, journal) = (&base.clock, &base.journal);
-    let dialect = &base.dialect;
+    let (clock, journal) = (&context.clock, &context.journal);
+    let dialect = &context.dialect;
     let fleet = Fleet::new(FleetParts {
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
         dialect: Arc::clone(dialect),
     });
     let counting = Counting::new(CountingParts {
-        process: base.store.writer_id().to_owned(),
-        settings: base.in_force.clone(),
-        connections: base.connections.clone(),
+        process: context.store.writer_id().to_owned(),
+        settings: context.in_force.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
     });
     let shared = Shared {
         counting: counting.clone(),
         fleet: Arc::clone(&fleet),
-        interest: Arc::clone(&base.sources.interest),
+        interest: Arc::clone(&context.sources.interest),
         dialect: Arc::clone(dialect),
-        connections: base.connections.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
-        settings: base.in_force.clone(),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
+        settings: context.in_force.clone(),
         journal: journal.clone(),
-        mechanisms: base.mechanisms,
+        mechanisms: context.mechanisms,
     };
     let live = LiveCalls::new(
         shared.clone(),
-        &base.settings.node,
-        base.settings.zone.clone(),
+        &context.settings.node,
+        context.settings.zone.clone(),
     );
-    let scoring = Scoring::new(shared.clone(), base.settings.zone.clone());
+    let scoring = Scoring::new(shared.clone(), context.settings.zone.clone());
     let drafting = Drafting::new(shared, scoring.clone());
-    base.tasks.spawn(drafting.clone().run());
+    context.tasks.spawn(drafting.clone().run());
     let homes = Homes::new(
-        base.store.clone(),
+        context.store.clone(),
         journal.clone(),
         Arc::clone(fleet.demands()),
     );
     let home_finder = HomeFinder {
-        seeds: base.sources.seeds.clone(),
+        seeds: context.sources.seeds.clone(),
         roster: Arc::new(Roster::default()),
         homes: homes.clone(),
-        connections: base.connections.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     };
     let submissions = SubmissionManager::new(SubmissionManagerParts {
-        this_node: me.clone(),
-        store: base.store.clone(),
-        connections: base.connections.clone(),
+        this_node: this_node.clone(),
+        store: context.store.clone(),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
         drafting: drafting.clone(),
         homes: homes.clone(),
         home_finder: home_finder.clone(),
-        outage: base.sources.outage.clone(),
-        settings: base.in_force.clone(),
-        mechanisms: base.mechanisms,
+        outage: context.sources.outage.clone(),
+        settings: context.in_force.clone(),
+        mechanisms: context.mechanisms,
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
     });
     let holder = DutyHolder::new(DutyHolderParts {
-        this_node: me.clone(),
-        settings: base.in_force.clone(),
-        store: base.store.clone(),
-        outage: base.sources.outage.clone(),
-        connections: base.connections.clone(),
+        this_node: this_node.clone(),
+        settings: context.in_force.clone(),
+        store: context.store.clone(),
+        outage: context.sources.outage.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
     });
-    base.tasks.spawn(counting.clone().run(holder.clone()));
+    context.tasks.spawn(counting.clone().run(holder.clone()));
     let reporter = Reporter::new(ReporterParts {
         counting: counting.clone(),
         holder: holder.clone(),
-        store: base.store.clone(),
-        connections: base.connections.clone(),
+        store: context.store.clone(),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
-        settings: base.in_force.clone(),
+        settings: context.in_force.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     });
-    base.tasks.spawn(reporter.run());
-    if base.mechanisms.is_enabled(Mechanism::Scaling) && base.settings.scaling().is_some() {
+    context.tasks.spawn(reporter.run());
+    if context.mechanisms.is_enabled(Mechanism::Scaling) && context.settings.scaling().is_some() {
         let scaler = Scaler::new(ScalerParts {
             holder: holder.clone(),
             fleet: Arc::clone(&fleet),
-            store: base.store.clone(),
-            connections: base.connections.clone(),
+            store: context.store.clone(),
+            connections: context.connections.clone(),
             dialect: Arc::clone(dialect),
-            settings: base.in_force.clone(),
+            settings: context.in_force.clone(),
             clock: Arc::clone(clock),
             journal: journal.clone(),
         });
-        base.tasks.spawn(scaler.run());
+        context.tasks.spawn(scaler.run());
     }
     let weights = WeightUpdater::new(WeightUpdaterParts {
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
-        interest: Arc::clone(&base.sources.interest),
-        connections: base.connections.clone(),
+        interest: Arc::clone(&context.sources.interest),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
         clock: Arc::clone(clock),
-        mechanisms: base.mechanisms,
+        mechanisms: context.mechanisms,
         journal: journal.clone(),
     });
-    base.tasks.spawn(weights.run());
-    let vitals = Vitals {
-        me,
-        seeds: base.sources.seeds.clone(),
+    context.tasks.spawn(weights.run());
+    let load_logger = LoadLogger {
+        this_node,
+        seeds: context.sources.seeds.clone(),
         homes: homes.clone(),
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
         journal: journal.clone(),
     };
-    base.tasks.spawn(vitals.run());
+    context.tasks.spawn(load_logger.run());
     Arc::new(RequestHandler {
         dialect: Arc::clone(dialect),
         fleet,
@@ -489,25 +490,25 @@
         home_finder,
         holder,
         counting,
-        relay: Arc::clone(&base.sources.relay),
-        connections: base.connections.clone(),
-        store: base.settings.store,
+        relay: Arc::clone(&context.sources.relay),
+        connections: context.connections.clone(),
+        store: context.settings.store,
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
-        settings: base.in_force.clone(),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
+        settings: context.in_force.clone(),
         journal: journal.clone(),
-        tasks: base.tasks.clone(),
-        mechanisms: base.mechanisms,
+        tasks: context.tasks.clone(),
+        mechanisms: context.mechanisms,
     })
 }
 
-fn start_followers(base: &Base, node: &Arc<RequestHandler>) {
+fn start_followers(context: &NodeContext, node: &Arc<RequestHandler>) {
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
     let scoring = node.scoring.clone();
-    let interest = Arc::clone(&base.sources.interest);
-    let settings = base.in_force.clone();
-    let (local_member, tasks) = (base.sources.local_member.clone(), base.tasks.clone());
-    let (relay, configured) = (Arc::clone(&base.sources.relay), Arc::clone(&fleet));
+    let interest = Arc::clone(&context.sources.interest);
+    let settings = context.in_force.clone();
+    let (local_member, tasks) = (context.sources.local_member.clone(), context.tasks.clone());
+    let (relay, configured) = (Arc::clone(&context.sources.relay), Arc::clone(&fleet));
     let how = move || {
         let has_accounts = !configured.config().accounts.is_empty();
         let limits = has_accounts.then(|| settings.now().config_wait_limits());
@@ -520,7 +521,7 @@
             ..FollowOptions::immediate()
         }
     };
-    base.follow(ObjectKind::Configuration, how, move |news| {
+    context.follow(ObjectKind::Configuration, how, move |news| {
         for change in news.changes {
             fleet.apply_config(change);
         }
@@ -535,8 +536,8 @@
     let (scoring, connections) = (node.scoring.clone(), node.connections.clone());
     let followed = Arc::clone(&list);
     let drafting = node.drafting.clone();
-    let interest = Arc::clone(&base.sources.interest);
-    let idle_pause = base.settings.leaving().mul_f64(IDLE_PAUSE_PART);
+    let interest = Arc::clone(&context.sources.interest);
+    let idle_pause = context.settings.leaving().mul_f64(IDLE_PAUSE_PART);
     let how = move || FollowOptions {
         pause: if drafting.is_busy() {
             Duration::ZERO
@@ -546,7 +547,7 @@
         seed_pause: SEED_PAUSE,
         ..FollowOptions::immediate()
     };
-    base.follow(ObjectKind::Upstreams, how, move |news| {
+    context.follow(ObjectKind::Upstreams, how, move |news| {
         let mut list = followed
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -574,24 +575,26 @@
         },
         ..FollowOptions::immediate()
     };
-    base.follow(ObjectKind::WeightVersions, how, move |news| {
+    context.follow(ObjectKind::WeightVersions, how, move |news| {
         for change in news.changes {
             fleet.apply_versions(change);
         }
     });
     let (homes, holder) = (node.homes.clone(), node.holder.clone());
     let how = FollowOptions::delayed;
-    base.follow(ObjectKind::Duties, how, move |news| {
+    context.follow(ObjectKind::Duties, how, move |news| {
         for change in news.changes {
             holder.apply_change(&change);
             homes.apply(change);
         }
     });
     let submissions = node.submissions.clone();
-    base.tasks.spawn(async move { submissions.resume().await });
+    context
+        .tasks
+        .spawn(async move { submissions.resume().await });
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
     let scoring = node.scoring.clone();
-    base.tasks.spawn(async move {
+    context.tasks.spawn(async move {
         loop {
             tokio::time::sleep(TICK_EVERY).await;
             let mut list = list
@@ -610,7 +613,7 @@
 }
 
 async fn serve<F, A>(
-    base: &Base,
+    context: &NodeContext,
     node: &Arc<RequestHandler>,
     at: SocketAddr,
     linger: Duration,
@@ -622,6 +625,6 @@
 {
     let node = Arc::clone(node);
     let handler = server::handler(move |request| Box::pin(answer(Arc::clone(&node), request)));
-    let (_, serving) = server::serve(&base.net, &base.tasks, at, linger, handler).await?;
+    let (_, serving) = server::serve(&context.net, &context.tasks, at, linger, handler).await?;
     Ok(serving)
 }
--- a/crates/node/tests/load_logger.rs
+++ b/crates/node/tests/load_logger.rs
@@ -1,7 +1,7 @@
 //! What the system tells of a process.
 
+use firweir_node::load_logger::cpu_time_ms;
 use firweir_node::load_logger::peak_memory_mb;
-use firweir_node::load_logger::processor_time_ms;
 
 #[test]
 fn memory_and_time_are_read() {
@@ -9,8 +9,8 @@
     assert_eq!(peak_memory_mb(status), Some(20));
     assert_eq!(peak_memory_mb("Name:\tfirweir\n"), None);
     let stat = "77 (a (strange) name) S 1 77 77 0 -1 4194560 9 0 0 0 250 50 0 0 20 0 2 0 1 1 1";
-    assert_eq!(processor_time_ms(stat), Some(3_000));
+    assert_eq!(cpu_time_ms(stat), Some(3_000));
     for malformed in ["", "77 name S 1", "77 (name) S 1 2"] {
-        assert_eq!(processor_time_ms(malformed), None, "{malformed}");
+        assert_eq!(cpu_time_ms(malformed), None, "{malformed}");
     }
 }
