--- a/crates/node/src/change.rs
+++ b/crates/node/src/change.rs
@@ -10,7 +10,7 @@
     /// One object appeared or changed.
     Put(Object),
     /// The object of this name is gone.
-    Gone(String),
+    Removed(String),
 }
 
 impl Change {
@@ -20,7 +20,7 @@
         match self {
             Self::All(objects) => objects,
             Self::Put(object) => vec![object],
-            Self::Gone(_) => Vec::new(),
+            Self::Removed(_) => Vec::new(),
         }
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -410,7 +410,7 @@
             match change {
                 Change::All(objects) => self.apply_list(list, &objects, now, &mut changed_entries),
                 Change::Put(object) => self.put(list, &object, &mut changed_entries),
-                Change::Gone(name) => {
+                Change::Removed(name) => {
                     list.refused.retain(|(refused, _)| *refused != name);
                     self.remove(list, &name, now);
                 }
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -265,7 +265,7 @@
                 }
             },
         };
-        follower.sources.outage.answered();
+        follower.sources.outage.record_answer();
         follower.newest = follower.newest.max(update.revision);
         follower.since = Some(follower.newest);
         take(update.batch);
@@ -298,7 +298,7 @@
     /// A watch that broke off is not begun again: a store that is about to drop its
     /// history lets such a watch wait and tells it nothing, for seconds.
     async fn ask_store(&mut self, how: FollowOptions) -> Result<Update, StoreError> {
-        self.sources.outage.wait(self.kind).await;
+        self.sources.outage.wait_while_probed(self.kind).await;
         let update = match self.since.filter(|_| !self.gap) {
             // The newest list: while the store drops its history, the revision of a
             // stale one is already gone, and no watch could start from it.
@@ -395,7 +395,7 @@
             } => {
                 let changes = changes.into_iter().map(|change| {
                     if change.deleted || !self.is_wanted(&change.object) {
-                        Change::Gone(change.object.name)
+                        Change::Removed(change.object.name)
                     } else {
                         Change::Put(change.object)
                     }
@@ -417,7 +417,7 @@
         let kind = format!("{:?}", self.kind);
         let journal = &self.sources.journal;
         self.gap = true;
-        self.sources.outage.failed(self.kind, error);
+        self.sources.outage.record_failure(self.kind, error);
         if matches!(error, StoreError::HistoryGone) {
             journal.event("history_gone", &[("kind", &kind)]);
             let now = self.sources.clock.now();
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -22,7 +22,7 @@
 use crate::relay::RelayAnswer;
 use crate::relay::RelayRequest;
 use crate::relay::path_name_of;
-use crate::roster::MEMBER;
+use crate::roster::MEMBER_HEADER;
 
 /// After a round in which no seed had an update, seeds are not asked again for this long;
 /// meanwhile the store is asked.
@@ -166,7 +166,7 @@
         if self.kind == ObjectKind::Duties
             && let Some(member) = self.sources.local_member.header()
         {
-            request.headers_mut().insert(MEMBER, member);
+            request.headers_mut().insert(MEMBER_HEADER, member);
         }
         let (connections, interest) = (&self.sources.connections, &self.sources.interest);
         let answer = tokio::select! {
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -166,7 +166,7 @@
         let objects = match change {
             Change::All(objects) => objects.as_slice(),
             Change::Put(object) => std::slice::from_ref(object),
-            Change::Gone(_) => &[],
+            Change::Removed(_) => &[],
         };
         for object in objects.iter().filter(|object| object.name == DUTY_NAME) {
             self.update_known_holder(object);
@@ -353,7 +353,7 @@
     /// and not done.
     pub(crate) async fn request_takeover(&self) {
         // No node can take the duty without the store.
-        if self.parts.outage.is_on() {
+        if self.parts.outage.is_ongoing() {
             return;
         }
         let found = match self.read_duty().await {
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -37,14 +37,14 @@
 impl Outage {
     /// A call for this kind failed. Only an answer that says that nothing was done, or no
     /// connection, tells of the store; any other may be this call's own trouble.
-    pub fn failed(&self, kind: ObjectKind, error: &StoreError) {
+    pub fn record_failure(&self, kind: ObjectKind, error: &StoreError) {
         if matches!(error, StoreError::Refused(_) | StoreError::Unreachable) {
             self.lock().get_or_insert(kind);
         }
     }
 
     /// A call was answered.
-    pub fn answered(&self) {
+    pub fn record_answer(&self) {
         if self.lock().take().is_some() {
             self.inner.over.notify_waiters();
         }
@@ -52,12 +52,12 @@
 
     /// The store turns this node away.
     #[must_use]
-    pub fn is_on(&self) -> bool {
+    pub fn is_ongoing(&self) -> bool {
         self.lock().is_some()
     }
 
     /// Waits while another kind's follower asks.
-    pub async fn wait(&self, kind: ObjectKind) {
+    pub async fn wait_while_probed(&self, kind: ObjectKind) {
         let over = self.inner.over.notified();
         tokio::pin!(over);
         // Before the look, so that an end in between is not missed.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -135,7 +135,7 @@
                 value,
                 reported: passed.reported,
             }),
-            None => Change::Gone(passed.name),
+            None => Change::Removed(passed.name),
         };
         let changes = self.objects.into_iter().map(object);
         if !self.is_full_list {
@@ -143,7 +143,7 @@
         }
         let objects = changes.filter_map(|change| match change {
             Change::Put(object) => Some(object),
-            Change::All(_) | Change::Gone(_) => None,
+            Change::All(_) | Change::Removed(_) => None,
         });
         vec![Change::All(objects.collect())]
     }
@@ -526,7 +526,7 @@
         match change {
             Change::All(objects) => self.apply_list(revision, objects, digest_of),
             Change::Put(object) => self.put(revision, object, digest_of(object)),
-            Change::Gone(name) => self.remove(revision, name),
+            Change::Removed(name) => self.remove(revision, name),
         }
     }
 
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -54,7 +54,7 @@
 use crate::respond::with_json;
 use crate::roster::HOME_PATH;
 use crate::roster::HomeQuestion;
-use crate::roster::MEMBER;
+use crate::roster::MEMBER_HEADER;
 use crate::roster::Member;
 use crate::scoring::Scoring;
 use crate::store_fallback::store_uri_from_peer;
@@ -298,11 +298,14 @@
 
     /// Takes in what a node that asks tells of itself.
     fn note_member(&self, headers: &HeaderMap) {
-        let Some(value) = headers.get(MEMBER) else {
+        let Some(value) = headers.get(MEMBER_HEADER) else {
             return;
         };
         match serde_json::from_slice::<Member>(value.as_bytes()) {
-            Ok(member) => self.home_finder.roster.note(self.clock.now(), member),
+            Ok(member) => self
+                .home_finder
+                .roster
+                .record_member(self.clock.now(), member),
             Err(error) => self.journal.event("member_malformed", &[("cause", &error)]),
         }
     }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -31,7 +31,7 @@
 pub const HOME_PATH: &str = "/peer/home";
 
 /// Header in which a node tells what it is.
-pub const MEMBER: HeaderName = HeaderName::from_static("x-firweir-member");
+pub const MEMBER_HEADER: HeaderName = HeaderName::from_static("x-firweir-member");
 
 /// A node that has not asked for this long may be gone: two questions of its own are late.
 const SILENT_AFTER: Duration = Duration::from_millis(2 * POLL_TIMEOUT.as_millis() as u64);
@@ -56,7 +56,8 @@
     /// The model.
     pub model: String,
     /// A node that did not answer.
-    pub but: Option<SocketAddr>,
+    #[serde(rename = "but")]
+    pub excluded: Option<SocketAddr>,
 }
 
 /// The home that a seed names, and what it is worth beside those that other seeds name.
@@ -65,25 +66,27 @@
     /// The node.
     pub home: NodeRef,
     /// Part of its VM that the model would get.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub capacity_share: f64,
     /// Tells equal offers apart.
-    pub order: u64,
+    #[serde(rename = "order")]
+    pub tie_breaker: u64,
 }
 
 impl HomeOffer {
     /// What the home is worth to the model.
     #[must_use]
-    pub const fn worth(&self) -> HomeScore {
+    pub const fn score(&self) -> HomeScore {
         HomeScore {
-            capacity_share: self.share,
-            tie_breaker: self.order,
+            capacity_share: self.capacity_share,
+            tie_breaker: self.tie_breaker,
         }
     }
 }
 
 /// The home of a model, as the list of duties shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Settled {
+pub struct HomeAssignment {
     /// The model.
     pub model: String,
     /// Its home.
@@ -158,7 +161,7 @@
 
 impl Roster {
     /// A node has told what it is.
-    pub fn note(&self, now: Instant, member: Member) {
+    pub fn record_member(&self, now: Instant, member: Member) {
         let mut state = self.lock();
         let address = member.runner.address;
         let heard = Heard { member, at: now };
@@ -175,11 +178,11 @@
         &self,
         now: Instant,
         question: &HomeQuestion,
-        settled: &[Settled],
+        settled: &[HomeAssignment],
     ) -> Option<HomeOffer> {
         let mut state = self.lock();
         state.forget(now, settled);
-        state.forget_member(question.but);
+        state.forget_member(question.excluded);
         let named = state.take_named(&question.model);
         let candidates = state.candidates(settled, named);
         let (best, worth) = best_home(xxh3_64(question.model.as_bytes()), &candidates)?;
@@ -187,13 +190,13 @@
         state.named.push(Named {
             model: question.model.clone(),
             address: home.address,
-            before: question.but,
+            before: question.excluded,
             at: now,
         });
         Some(HomeOffer {
             home,
-            share: worth.capacity_share,
-            order: worth.tie_breaker,
+            capacity_share: worth.capacity_share,
+            tie_breaker: worth.tie_breaker,
         })
     }
 
@@ -215,7 +218,7 @@
 }
 
 impl State {
-    fn forget(&mut self, now: Instant, settled: &[Settled]) {
+    fn forget(&mut self, now: Instant, settled: &[HomeAssignment]) {
         self.members
             .retain(|held| now.duration_since(held.at) < SILENT_AFTER);
         // The model may have gone to a home that another seed has named.
@@ -249,7 +252,11 @@
     }
 
     /// Nodes that take steps; `only` one of them if it is given.
-    fn candidates(&self, settled: &[Settled], only: Option<SocketAddr>) -> Vec<HomeCandidate> {
+    fn candidates(
+        &self,
+        settled: &[HomeAssignment],
+        only: Option<SocketAddr>,
+    ) -> Vec<HomeCandidate> {
         let settled = settled.iter().map(|held| held.address);
         let named = self.named.iter().map(|held| held.address);
         let mut homes: Vec<SocketAddr> = settled.chain(named).collect();
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -52,7 +52,7 @@
                 return answer;
             }
         }
-        let in_outage = origin == RequestOrigin::Client && self.shared.outage.is_on();
+        let in_outage = origin == RequestOrigin::Client && self.shared.outage.is_ongoing();
         if in_outage
             && !self.is_known(id)
             && let Some(answer) = self.ask_homes(question, head).await
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -49,7 +49,7 @@
     pub async fn find(&self, model: &str, excluded: Option<SocketAddr>) -> Option<NodeRef> {
         let question = HomeQuestion {
             model: model.to_owned(),
-            but: excluded,
+            excluded,
         };
         let seeds = self.seeds.current();
         let own = seeds.is_seed.then(|| self.local_offer(&question)).flatten();
@@ -58,7 +58,7 @@
             .iter()
             .map(|seed| self.remote_offer(*seed, &question));
         let offers = join_all(requests).await.into_iter().flatten().chain(own);
-        let best = offers.max_by(|a, b| a.worth().compare(&b.worth()));
+        let best = offers.max_by(|a, b| a.score().compare(&b.score()));
         best.map(|offer| offer.home)
     }
 
@@ -88,7 +88,7 @@
             &[
                 ("model", &question.model),
                 ("home", &offer.home.node),
-                ("share", &offer.share),
+                ("share", &offer.capacity_share),
             ],
         );
         Some(offer)
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -18,7 +18,7 @@
 use crate::demand::ModelDemands;
 use crate::dialect::Object;
 use crate::dialect::ObjectKind;
-use crate::roster::Settled;
+use crate::roster::HomeAssignment;
 use crate::store::Store;
 use crate::submission::records::NodeRef;
 
@@ -86,9 +86,9 @@
 
     /// Returns the address of each model's home.
     #[must_use]
-    pub fn assignments(&self) -> Vec<Settled> {
+    pub fn assignments(&self) -> Vec<HomeAssignment> {
         let homes = self.by_model.load();
-        let assignments = homes.iter().map(|home| Settled {
+        let assignments = homes.iter().map(|home| HomeAssignment {
             model: home.model.clone(),
             address: home.runner.address,
         });
@@ -100,7 +100,7 @@
         match change {
             Change::All(objects) => objects.iter().for_each(|object| self.put(object)),
             Change::Put(object) => self.put(&object),
-            Change::Gone(_) => {}
+            Change::Removed(_) => {}
         }
     }
 
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -26,13 +26,13 @@
         tokio::spawn(async move {
             let mut calls = 0;
             loop {
-                outage.wait(kind).await;
+                outage.wait_while_probed(kind).await;
                 if started.elapsed() >= Duration::from_secs(5) {
-                    outage.answered();
+                    outage.record_answer();
                     return (calls, started.elapsed());
                 }
                 calls += 1;
-                outage.failed(kind, &StoreError::Refused(StatusCode::SERVICE_UNAVAILABLE));
+                outage.record_failure(kind, &StoreError::Refused(StatusCode::SERVICE_UNAVAILABLE));
                 tokio::time::sleep(Duration::from_millis(600)).await;
             }
         })
@@ -78,9 +78,9 @@
     ];
     for case in cases {
         let outage = Outage::default();
-        outage.failed(ObjectKind::Upstreams, &case.error);
-        assert_eq!(outage.is_on(), case.is_on, "{}", case.name);
-        outage.answered();
-        assert!(!outage.is_on(), "{}", case.name);
+        outage.record_failure(ObjectKind::Upstreams, &case.error);
+        assert_eq!(outage.is_ongoing(), case.is_on, "{}", case.name);
+        outage.record_answer();
+        assert!(!outage.is_ongoing(), "{}", case.name);
     }
 }
--- a/crates/node/tests/roster.rs
+++ b/crates/node/tests/roster.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use firweir_node::roster::HomeAssignment;
 use firweir_node::roster::HomeQuestion;
 use firweir_node::roster::LocalMember;
 use firweir_node::roster::Member;
 use firweir_node::roster::Roster;
-use firweir_node::roster::Settled;
 use firweir_node::submission::records::NodeRef;
 
 fn address(node: u16) -> SocketAddr {
@@ -26,10 +26,10 @@
     }
 }
 
-fn question(model: &str, but: Option<u16>) -> HomeQuestion {
+fn question(model: &str, excluded: Option<u16>) -> HomeQuestion {
     HomeQuestion {
         model: model.to_owned(),
-        but: but.map(address),
+        excluded: excluded.map(address),
     }
 }
 
@@ -39,7 +39,7 @@
     /// Node that is home of another model already.
     settled: Option<u16>,
     /// Node that is out of the question.
-    but: Option<u16>,
+    excluded: Option<u16>,
     /// Time since the members were heard of.
     silent_ms: u64,
     home: Option<u16>,
@@ -52,7 +52,7 @@
         name,
         members,
         settled: None,
-        but: None,
+        excluded: None,
         silent_ms: 0,
         home,
     };
@@ -70,7 +70,7 @@
             Some(2),
         ),
         Case {
-            but: Some(1),
+            excluded: Some(1),
             ..case("the one that does not answer", both(), Some(2))
         },
         Case {
@@ -87,18 +87,18 @@
         let roster = Roster::default();
         let start = Instant::now();
         for member in case.members {
-            roster.note(start, member);
+            roster.record_member(start, member);
         }
-        let settled: Vec<Settled> = case
+        let settled: Vec<HomeAssignment> = case
             .settled
-            .map(|node| Settled {
+            .map(|node| HomeAssignment {
                 model: "other".to_owned(),
                 address: address(node),
             })
             .into_iter()
             .collect();
         let now = start + Duration::from_millis(case.silent_ms);
-        let home = roster.home_for(now, &question("m", case.but), &settled);
+        let home = roster.home_for(now, &question("m", case.excluded), &settled);
         let home = home.map(|offer| offer.home.address);
         assert_eq!(home, case.home.map(address), "{}", case.name);
     }
@@ -118,7 +118,7 @@
     let roster = Roster::default();
     let now = Instant::now();
     for node in 1..=20 {
-        roster.note(now, member(node, 1.0));
+        roster.record_member(now, member(node, 1.0));
     }
     let first = roster.home_for(now, &question("m", None), &[]);
     for model in ["a", "b", "c"] {
@@ -136,15 +136,15 @@
     let now = Instant::now();
     let both = [member(1, 1.0), member(2, 0.9), member(3, 0.1)];
     for member in both {
-        roster.note(now, member);
+        roster.record_member(now, member);
     }
-    let named = |but| {
-        let home = roster.home_for(now, &question("m", but), &[]);
+    let named = |excluded| {
+        let home = roster.home_for(now, &question("m", excluded), &[]);
         home.map(|offer| offer.home.address.port())
     };
     assert_eq!(named(Some(1)), Some(2));
     assert_eq!(named(Some(2)), Some(3), "not the first one again");
-    roster.note(now, member(1, 1.0));
+    roster.record_member(now, member(1, 1.0));
     assert_eq!(named(Some(3)), Some(1), "it is back");
 }
 
