--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -100,14 +100,14 @@
         if is_over() {
             return Attempt::Moved;
         }
-        let request = DraftRequest {
+        let sample = DraftRequest {
             item: self.item,
             host: &self.submission.head.host,
             upstream: self.upstream,
             after_event: progress.last_event,
             account: self.submission.head.account.as_deref(),
         };
-        let request = match self.shared.dialect.draft_request(&request) {
+        let request = match self.shared.dialect.draft_request(&sample) {
             Ok(request) => request,
             Err(error) => {
                 self.shared.journal.event(
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -57,7 +57,7 @@
 /// Least number of events of a text that is saved: a shorter one is quickly generated again.
 const MIN_SAVED_EVENTS: usize = 25;
 
-/// Longest time between two checks for work of which no notification tells.
+/// Longest time between two checks for work that no notification announces.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Generates the samples of this node's submissions; cheap to clone.
@@ -75,7 +75,7 @@
 }
 
 impl Drafting {
-    /// Creates it without samples.
+    /// Creates a generator without samples.
     #[must_use]
     pub fn new(shared: Shared, scoring: Scoring) -> Self {
         Self {
@@ -192,7 +192,7 @@
             return self.record_result(state, at);
         };
         job.running = true;
-        // A run that ended on its own may have left a notification to leave unread.
+        // A run that ended on its own may have left an unread notification.
         job.leave = Arc::default();
         let (submission, leave) = (Arc::clone(&job.submission), Arc::clone(&job.leave));
         let drafting = self.clone();
@@ -681,7 +681,7 @@
         let now = self.shared.clock.now();
         let mut state = self.lock();
         state.placement.record_event(now, key);
-        // Without a job, the submission has ended meanwhile.
+        // There is no job if the submission has ended meanwhile.
         if let Some(at) = state.job_index(key) {
             state.jobs[at].progress.add_event(event, version);
         }
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -14,7 +14,8 @@
 pub struct CallProgress {
     /// Whether the call starts only where a shared upstream is likely to have a free slot.
     pub is_shared: bool,
-    /// Priority of the call, 0 being the highest; `None` if its service does not order calls by priority.
+    /// Priority of the call, 0 being the highest; `None` if its service does not order calls by
+    /// priority.
     pub priority: Option<u32>,
     /// Time that the call has waited for a free slot, in milliseconds.
     waited_ms: AtomicU64,
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -92,7 +92,7 @@
 }
 
 impl Scoring {
-    /// Creates it without upstreams; they are set by [`Scoring::update_upstreams`].
+    /// Creates a scorer without upstreams; [`Scoring::update_upstreams`] sets them.
     #[must_use]
     pub fn new(shared: Shared, zone: String) -> Self {
         let is_paced = shared.mechanisms.is_enabled(Mechanism::PacedRewards);
@@ -162,7 +162,7 @@
     }
 
     /// Number of failures after which the item is abandoned: the larger of the limits of the
-    /// item's route and the call's route, so that it is never abandoned before either is reached.
+    /// item's route and the call's route, so that it is never abandoned before both are reached.
     fn max_failures(&self, submission: &LocalSubmission, call: &RewardCall) -> u32 {
         let config = self.shared.fleet.config();
         let of_item = config.route(&submission.head.host, &submission.head.path);
@@ -268,8 +268,8 @@
     ) -> (Attempt, Ending, Option<ReportedLoad>) {
         let (head, body) = exchange.answer.into_parts();
         let reported = self.shared.dialect.answer_head(&head);
-        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let is_complete = body.is_ok();
+        let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let is_complete = collected.is_ok();
         if reported.not_run {
             if is_complete {
                 exchange.connection.return_to_pool();
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -141,7 +141,7 @@
 enum Check {
     /// This node neither gives orders nor knows engines.
     Idle,
-    /// The check took this long.
+    /// Determining the due orders took this long.
     Took(Duration),
 }
 
@@ -154,7 +154,7 @@
 }
 
 impl WeightUpdater {
-    /// Creates it without orders.
+    /// Creates an updater without orders.
     #[must_use]
     pub fn new(parts: WeightUpdaterParts) -> Self {
         let shared = Shared {
@@ -275,7 +275,7 @@
             serving: engines,
             model_shares,
         } = rollout_engines(fleet);
-        let mut weighed = Vec::new();
+        let mut engine_weights = Vec::new();
         let mut loads = Vec::new();
         let is_selected = |load: &&ModelVersion| {
             let hash = hash_of_name(&load.model);
@@ -288,7 +288,7 @@
             {
                 let (loading, unavailable) = self.load_state(&engine.upstream, load, now);
                 let model = named.binary_search_by(|held| held.model.cmp(&load.model));
-                weighed.push(EngineWeights {
+                engine_weights.push(EngineWeights {
                     engine: UpstreamKey(at as u32),
                     model: ModelKey(model.unwrap_or_default() as u32),
                     version: engine.upstream.version_of(&load.model).unwrap_or_default(),
@@ -303,11 +303,11 @@
         let keep_running = !routes.iter().any(|route| route.single_version);
         let at_once = self.max_loads(model_shares.engines);
         let next = if self.shared.parts.mechanisms.is_enabled(Mechanism::TwoSets) {
-            next_loads(&weighed, at_once, &model_shares)
+            next_loads(&engine_weights, at_once, &model_shares)
         } else {
-            next_loads_on_all_engines(&weighed, at_once)
+            next_loads_on_all_engines(&engine_weights, at_once)
         };
-        let running = weighed.iter().filter(|held| held.loading).count();
+        let running = engine_weights.iter().filter(|held| held.loading).count();
         self.lock().is_limit_reached = running + next.len() >= at_once;
         let due = next.into_iter().map(|index| {
             let (at, load) = &loads[index];
