--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -103,13 +103,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingLimits {
     /// Minimum number of upstreams in an availability zone, on-demand and spot together.
-    pub least: u32,
+    pub min_per_zone: u32,
     /// Maximum number of upstreams in an availability zone, on-demand and spot together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time from an order until a new upstream serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of a spot upstream as a fraction of the on-demand price.
-    pub spot_price: f64,
+    pub spot_price_ratio: f64,
     /// Price per second of an on-demand upstream in each availability zone, sorted by zone.
     pub zone_prices: Vec<ZonePrice>,
 }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -214,10 +214,10 @@
 
     fn bounds(&self, service: &Service, limits: &ScalingLimits) -> Bounds {
         Bounds {
-            min_per_zone: limits.least,
-            max_per_zone: limits.most,
+            min_per_zone: limits.min_per_zone,
+            max_per_zone: limits.max_per_zone,
             slots: slots_of(&self.parts.fleet, service),
-            spot_price_ratio: limits.spot_price,
+            spot_price_ratio: limits.spot_price_ratio,
         }
     }
 
@@ -233,7 +233,10 @@
         let mut due = orders(&zones, &bounds, scaled.demand);
         if due.iter().any(|order| order.count < order.before) {
             let (service, now) = (&scaled.service.name, self.parts.clock.now());
-            if !progress.inquiries.take(service, now, scaled.limits.boot) {
+            if !progress
+                .inquiries
+                .take(service, now, scaled.limits.boot_time)
+            {
                 return Ok(());
             }
             self.ask_for_requests(scaled, &mut zones, bounds.slots)
@@ -261,7 +264,7 @@
         let prices = &scaled.limits.zone_prices;
         let views = places.iter().zip(prices).map(|(place, price)| {
             let listed = self.listed(&scaled.service.name, &price.zone);
-            progress.subjects[*place].view(listed, price.price, now, scaled.limits.boot)
+            progress.subjects[*place].view(listed, price.price, now, scaled.limits.boot_time)
         });
         views.collect()
     }
