--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -53,7 +53,7 @@
     /// Limits calls by the estimated free capacity of upstreams where the configuration says that
     /// these are shared. The seed sets random jitter and has to differ by node.
     #[must_use]
-    pub fn sharing(self, seed: u64) -> Self {
+    pub fn with_shared_seed(self, seed: u64) -> Self {
         Self {
             shared_seed: Some(seed),
             ..self
@@ -68,7 +68,7 @@
             if !config.has_call_route(&service.name) {
                 continue;
             }
-            let gate = self.of(&service.name);
+            let gate = self.get_or_create(&service.name);
             let of_service = || upstreams.iter().filter(|held| held.service == service.name);
             let limit = of_service().map(|held| held.slots).max().unwrap_or(1);
             let listed: Vec<_> = of_service().map(|held| self.listed(held)).collect();
@@ -85,7 +85,7 @@
     }
 
     /// The gate of a service.
-    pub fn of(&self, service: &str) -> Arc<Gate> {
+    pub fn get_or_create(&self, service: &str) -> Arc<Gate> {
         let mut gates = self.lock();
         match gates.binary_search_by(|named| named.service.as_str().cmp(service)) {
             Ok(at) => Arc::clone(&gates[at].gate),
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -126,7 +126,7 @@
         let affinity = xxh3_64(node.as_bytes());
         let gates = Gates::new(Arc::clone(&shared.clock), zone, dispatcher);
         let gates = if shared.mechanisms.is_enabled(Mechanism::SharedService) {
-            gates.sharing(affinity)
+            gates.with_shared_seed(affinity)
         } else {
             gates
         };
@@ -224,7 +224,7 @@
 
     async fn run(self: &Arc<Self>, call: &Call<'_>) -> Response<Body> {
         let service = call.service;
-        let gate = self.gates.of(service);
+        let gate = self.gates.get_or_create(service);
         gate.count_offered();
         let prefix = if self.shared.mechanisms.is_enabled(Mechanism::CallAffinity) {
             self.affinity
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -184,7 +184,7 @@
         };
         let service = pick_target(route, &call.id);
         let ask = self.ask(submission, avoid);
-        let permit = match self.gates.of(service).admit(ask).await {
+        let permit = match self.gates.get_or_create(service).admit(ask).await {
             Ok(permit) => permit,
             Err(refused) => return Attempt::NotRun(refused.reason.as_str()),
         };
