--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -114,7 +114,7 @@
 pub(crate) struct FleetSnapshot {
     pub(crate) config: Arc<Config>,
     pub(crate) upstreams: Arc<Vec<Arc<Upstream>>>,
-    pub(crate) named: Arc<Vec<ModelVersion>>,
+    pub(crate) latest_versions: Arc<Vec<ModelVersion>>,
 }
 
 impl FleetSnapshot {
@@ -122,7 +122,7 @@
         Self {
             config: fleet.config(),
             upstreams: fleet.upstreams(),
-            named: fleet.latest_versions(),
+            latest_versions: fleet.latest_versions(),
         }
     }
 
@@ -130,7 +130,7 @@
     pub(crate) fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.config, &other.config)
             && Arc::ptr_eq(&self.upstreams, &other.upstreams)
-            && Arc::ptr_eq(&self.named, &other.named)
+            && Arc::ptr_eq(&self.latest_versions, &other.latest_versions)
     }
 }
 
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -108,7 +108,7 @@
 
 /// All models that engines hold, sorted by name. Most engines of a service hold the same
 /// models, so each engine is first compared with the previous one.
-fn models_of(engines: &[Arc<Upstream>], named: &[ModelVersion]) -> Vec<Model> {
+fn models_of(engines: &[Arc<Upstream>], latest_versions: &[ModelVersion]) -> Vec<Model> {
     let mut held_names: Vec<&str> = Vec::new();
     let mut previous: &[ModelVersion] = &[];
     for engine in engines {
@@ -121,11 +121,11 @@
     held_names.sort_unstable();
     held_names.dedup();
     let model = |name: &str| {
-        let newest = named.binary_search_by(|held| held.model.as_str().cmp(name));
+        let newest = latest_versions.binary_search_by(|held| held.model.as_str().cmp(name));
         Model {
             name: Arc::from(name),
             hash: hash_of_name(name),
-            latest_version: newest.ok().map(|at| named[at].version),
+            latest_version: newest.ok().map(|at| latest_versions[at].version),
             slice: FleetSlice::default(),
         }
     };
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -223,11 +223,11 @@
         upstream: &Upstream,
         permit: Permit,
     ) -> Attempt {
-        let patience = route.timeout();
+        let timeout = route.timeout();
         let request = RewardRequest {
             call,
             upstream,
-            timeout: patience,
+            timeout,
         };
         let request = match self.shared.dialect.reward_request(&request) {
             Ok(request) => request,
@@ -246,7 +246,7 @@
                 .await?;
             Ok(self.read(call, exchange).await)
         };
-        let exchanged = within(patience, exchanging).await;
+        let exchanged = within(timeout, exchanging).await;
         let (attempt, ending, reported_load) = match exchanged.unwrap_or(Err(CallError::Late)) {
             Ok(read) => read,
             Err(CallError::Refused | CallError::NotSent) => {
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -270,7 +270,7 @@
     fn due_orders(&self, models: Option<&[u64]>) -> Vec<DueOrder> {
         let fleet = &self.shared.parts.fleet;
         let now = self.shared.parts.clock.now();
-        let named = fleet.latest_versions();
+        let latest_versions = fleet.latest_versions();
         let Engines {
             serving: engines,
             model_shares,
@@ -282,12 +282,12 @@
             models.is_none_or(|models| models.binary_search(&hash).is_ok())
         };
         for (at, engine) in engines.iter().enumerate() {
-            for load in latest_versions_of(engine, &named)
+            for load in latest_versions_of(engine, &latest_versions)
                 .into_iter()
                 .filter(is_selected)
             {
                 let (loading, unavailable) = self.load_state(&engine.upstream, load, now);
-                let model = named.binary_search_by(|held| held.model.cmp(&load.model));
+                let model = latest_versions.binary_search_by(|held| held.model.cmp(&load.model));
                 engine_weights.push(EngineWeights {
                     engine: UpstreamKey(at as u32),
                     model: ModelKey(model.unwrap_or_default() as u32),
@@ -505,8 +505,15 @@
 }
 
 /// The latest published versions of the engine's models, for those that have one.
-fn latest_versions_of<'a>(engine: &Engine, named: &'a [ModelVersion]) -> Vec<&'a ModelVersion> {
+fn latest_versions_of<'a>(
+    engine: &Engine,
+    latest_versions: &'a [ModelVersion],
+) -> Vec<&'a ModelVersion> {
     let models = engine.models.iter();
-    let newest = models.filter_map(|model| named.iter().find(|named| named.model == **model));
+    let newest = models.filter_map(|model| {
+        latest_versions
+            .iter()
+            .find(|latest| latest.model == **model)
+    });
     newest.collect()
 }
