--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -43,7 +43,7 @@
 use crate::duty::VERIFICATION_TTL;
 use crate::duty::takeover_delay;
 use crate::outage::Outage;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::store::CreateOutcome;
 use crate::store::Store;
 use crate::submission::records::NodeRef;
@@ -106,7 +106,7 @@
     /// This node.
     pub this_node: NodeRef,
     /// Settings, among them the lease of those that receive orders.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// The platform's store.
     pub store: Store,
     /// Whether the store is unavailable to this node.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -48,8 +48,8 @@
 use crate::relay::Relay;
 use crate::relay::max_age_for;
 use crate::reload;
-use crate::reload::InForce;
-use crate::reload::Reload;
+use crate::reload::CurrentSettings;
+use crate::reload::SettingsReloader;
 use crate::request_handler::RequestHandler;
 use crate::roster::LocalMember;
 use crate::roster::Roster;
@@ -120,7 +120,7 @@
 pub(crate) struct NodeContext {
     /// Settings of the start.
     pub(crate) settings: NodeSettings,
-    in_force: InForce,
+    current_settings: CurrentSettings,
     fallback: StoreFallback,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
@@ -176,7 +176,7 @@
             exposition,
             sources,
             fallback,
-            in_force: InForce::new(settings.clone()),
+            current_settings: CurrentSettings::new(settings.clone()),
             settings,
             dialect,
             clock,
@@ -192,7 +192,7 @@
 
     /// Goes by the seeds of the settings in force.
     fn take_seeds(&self) {
-        let settings = self.in_force.now();
+        let settings = self.current_settings.now();
         self.fallback.set_nodes(fallback_nodes(&settings));
         let seeds = seeds_now(&settings);
         let follows_store = seeds.polled.is_empty();
@@ -215,14 +215,14 @@
     pub(crate) async fn wait_for_termination(&self) -> io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
         let mut hang_up = signal(SignalKind::hangup())?;
-        let mut reload = Reload::new(self.in_force.clone(), self.journal.clone());
+        let mut reload = SettingsReloader::new(self.current_settings.clone(), self.journal.clone());
         loop {
             tokio::select! {
                 _ = term.recv() => break,
                 _ = hang_up.recv() => self.journal.event("settings_signalled", &[]),
-                () = tokio::time::sleep(reload::LOOK_EVERY) => {}
+                () = tokio::time::sleep(reload::CHECK_INTERVAL) => {}
             }
-            if reload.look() {
+            if reload.reload_if_changed() {
                 self.take_seeds();
             }
         }
@@ -371,7 +371,7 @@
     });
     let counting = Counting::new(CountingParts {
         process: context.store.writer_id().to_owned(),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         connections: context.connections.clone(),
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&context.sources.boot_clock),
@@ -384,7 +384,7 @@
         connections: context.connections.clone(),
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&context.sources.boot_clock),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         journal: journal.clone(),
         mechanisms: context.mechanisms,
     };
@@ -418,7 +418,7 @@
         homes: homes.clone(),
         home_finder: home_finder.clone(),
         outage: context.sources.outage.clone(),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         mechanisms: context.mechanisms,
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&context.sources.boot_clock),
@@ -426,7 +426,7 @@
     });
     let holder = DutyHolder::new(DutyHolderParts {
         this_node: this_node.clone(),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         store: context.store.clone(),
         outage: context.sources.outage.clone(),
         connections: context.connections.clone(),
@@ -441,7 +441,7 @@
         store: context.store.clone(),
         connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     });
@@ -453,7 +453,7 @@
             store: context.store.clone(),
             connections: context.connections.clone(),
             dialect: Arc::clone(dialect),
-            settings: context.in_force.clone(),
+            settings: context.current_settings.clone(),
             clock: Arc::clone(clock),
             journal: journal.clone(),
         });
@@ -495,7 +495,7 @@
         store: context.settings.store,
         clock: Arc::clone(clock),
         boot_clock: Arc::clone(&context.sources.boot_clock),
-        settings: context.in_force.clone(),
+        settings: context.current_settings.clone(),
         journal: journal.clone(),
         tasks: context.tasks.clone(),
         mechanisms: context.mechanisms,
@@ -506,7 +506,7 @@
     let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
     let scoring = node.scoring.clone();
     let interest = Arc::clone(&context.sources.interest);
-    let settings = context.in_force.clone();
+    let settings = context.current_settings.clone();
     let (local_member, tasks) = (context.sources.local_member.clone(), context.tasks.clone());
     let (relay, configured) = (Arc::clone(&context.sources.relay), Arc::clone(&fleet));
     let how = move || {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -18,24 +18,24 @@
 
 /// Time between two looks at the file where nothing signals a change: an operator's
 /// tooling that sends no signal is heard within some seconds, and a look costs a read.
-pub const LOOK_EVERY: Duration = Duration::from_secs(5);
+pub const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The settings that are in force; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct CurrentSettings {
     settings: Arc<ArcSwap<NodeSettings>>,
 }
 
 /// What a changed settings file came to.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct SettingsChanges {
     /// Keys whose new values are in force.
-    pub in_force: Vec<&'static str>,
+    pub applied: Vec<&'static str>,
     /// Keys whose new values wait for a restart.
-    pub at_restart: Vec<&'static str>,
+    pub needs_restart: Vec<&'static str>,
 }
 
-impl InForce {
+impl CurrentSettings {
     /// The settings of the start.
     #[must_use]
     pub fn new(settings: NodeSettings) -> Self {
@@ -52,7 +52,7 @@
 
     /// Takes in what may change in force.
     #[must_use]
-    pub fn take(&self, new: &NodeSettings) -> Changes {
+    pub fn apply(&self, new: &NodeSettings) -> SettingsChanges {
         let held = self.now();
         let mut taken = NodeSettings::clone(&held);
         taken.seeds.clone_from(&new.seeds);
@@ -62,47 +62,47 @@
         taken.end_applies_ms = new.end_applies_ms;
         taken.keep_results_s = new.keep_results_s;
         taken.log_level.clone_from(&new.log_level);
-        let in_force = held.keys_that_differ(&taken);
-        let at_restart = taken.keys_that_differ(new);
+        let applied = held.keys_that_differ(&taken);
+        let needs_restart = taken.keys_that_differ(new);
         self.settings.store(Arc::new(taken));
-        Changes {
-            in_force,
-            at_restart,
+        SettingsChanges {
+            applied,
+            needs_restart,
         }
     }
 }
 
 /// Reads the settings file again and again.
 #[derive(Debug)]
-pub struct Reload {
-    in_force: InForce,
+pub struct SettingsReloader {
+    current_settings: CurrentSettings,
     journal: Journal,
     /// What the file said when it was last read; errors as they were logged.
     read: Result<NodeSettings, String>,
 }
 
-impl Reload {
+impl SettingsReloader {
     /// Nothing has changed since the start.
     #[must_use]
-    pub fn new(in_force: InForce, journal: Journal) -> Self {
-        let read = Ok(NodeSettings::clone(&in_force.now()));
+    pub fn new(current_settings: CurrentSettings, journal: Journal) -> Self {
+        let read = Ok(NodeSettings::clone(&current_settings.now()));
         Self {
-            in_force,
+            current_settings,
             journal,
             read,
         }
     }
 
     /// Reads the file; tells whether anything else is in force than before.
-    pub fn look(&mut self) -> bool {
-        let path = self.in_force.now().path.clone();
+    pub fn reload_if_changed(&mut self) -> bool {
+        let path = self.current_settings.now().path.clone();
         match NodeSettings::load(&path) {
             Ok(settings) if self.read.as_ref() == Ok(&settings) => false,
             Ok(settings) => {
-                let changes = self.in_force.take(&settings);
+                let changes = self.current_settings.apply(&settings);
                 self.read = Ok(settings);
                 self.note(&changes);
-                !changes.in_force.is_empty()
+                !changes.applied.is_empty()
             }
             Err(error) => {
                 self.refuse(&error);
@@ -111,14 +111,14 @@
         }
     }
 
-    fn note(&self, changes: &Changes) {
-        let (in_force, at_restart) = (changes.in_force.join(","), changes.at_restart.join(","));
+    fn note(&self, changes: &SettingsChanges) {
+        let (applied, needs_restart) = (changes.applied.join(","), changes.needs_restart.join(","));
         self.journal.event(
             "settings_taken",
-            &[("in_force", &in_force), ("at_restart", &at_restart)],
+            &[("in_force", &applied), ("at_restart", &needs_restart)],
         );
-        if changes.in_force.contains(&"log_level") {
-            set_log_level(&self.in_force.now().log_level);
+        if changes.applied.contains(&"log_level") {
+            set_log_level(&self.current_settings.now().log_level);
         }
     }
 
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -47,7 +47,7 @@
 use crate::relay::Relay;
 use crate::relay::RelayRequest;
 use crate::relay::kind_from_path_name;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::respond::Outcome;
 use crate::respond::empty;
 use crate::respond::refusal;
@@ -112,7 +112,7 @@
     pub(crate) store: SocketAddr,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) boot_clock: Arc<dyn BootClock>,
-    pub(crate) settings: InForce,
+    pub(crate) settings: CurrentSettings,
     pub(crate) journal: Journal,
     pub(crate) tasks: Tasks,
     pub(crate) mechanisms: EnabledMechanisms,
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -28,7 +28,7 @@
 use crate::model::ScalingLimits;
 use crate::model::Service;
 use crate::model::Upstream;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::scaling::demand::demand_of;
 use crate::scaling::demand::slots_of;
 use crate::scaling::inquiry::Inquiries;
@@ -65,7 +65,7 @@
     /// Encodes orders for the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Settings, which name the address for orders.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Events.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -13,7 +13,7 @@
 use crate::interest::Interest;
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::usage::counting::Counting;
 
 /// Cheap to clone.
@@ -32,7 +32,7 @@
     /// The clock that counts suspended time.
     pub boot_clock: Arc<dyn BootClock>,
     /// Settings.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// Events and metrics.
     pub journal: Journal,
     /// Counts requests of accounts.
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -37,7 +37,7 @@
 use crate::mechanisms::Mechanism;
 use crate::model::ItemResult;
 use crate::outage::Outage;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::respond::Outcome;
 use crate::respond::empty;
 use crate::respond::reason_of;
@@ -127,7 +127,7 @@
     pub(in crate::submission) homes: Homes,
     pub(in crate::submission) home_finder: HomeFinder,
     pub(in crate::submission) heads: Heads,
-    pub(in crate::submission) settings: InForce,
+    pub(in crate::submission) settings: CurrentSettings,
     pub(in crate::submission) mechanisms: EnabledMechanisms,
     pub(in crate::submission) clock: Arc<dyn Clock>,
     pub(in crate::submission) boot_clock: Arc<dyn BootClock>,
@@ -161,7 +161,7 @@
     /// Whether the store refuses this node's calls.
     pub outage: Outage,
     /// Settings, such as how long results stay readable.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// Mechanisms that are switched on.
     pub mechanisms: EnabledMechanisms,
     /// The clock.
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -24,7 +24,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::duty::BootClock;
 use crate::holder::DutyHolder;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::usage::collect::Collected;
 use crate::usage::collect::Told;
 use crate::usage::tally::Tally;
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 struct Inner {
     process: String,
-    settings: InForce,
+    settings: CurrentSettings,
     connections: ConnectionPool,
     boot_clock: Arc<dyn BootClock>,
     state: Mutex<State>,
@@ -91,7 +91,7 @@
     /// Names this process.
     pub process: String,
     /// Settings, with the length of windows, and seeds.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// Connections to other nodes.
     pub connections: ConnectionPool,
     /// The clock with the time of day.
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -24,7 +24,7 @@
 use crate::dialect::UsageReport;
 use crate::follow::list;
 use crate::holder::DutyHolder;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::settings::UsageSettings;
 use crate::store::CreateOutcome;
 use crate::store::Store;
@@ -83,7 +83,7 @@
     /// Writes reports.
     pub dialect: Arc<dyn Dialect>,
     /// Settings, with where reports go.
-    pub settings: InForce,
+    pub settings: CurrentSettings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Events.
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -7,8 +7,8 @@
 
 use firweir::process::clock::RuntimeClock;
 use firweir::process::log::Journal;
-use firweir_node::reload::InForce;
-use firweir_node::reload::Reload;
+use firweir_node::reload::CurrentSettings;
+use firweir_node::reload::SettingsReloader;
 use firweir_node::settings::NodeSettings;
 
 /// A settings file that is removed with it.
@@ -41,12 +41,15 @@
     )
 }
 
-fn started(file: &File) -> (InForce, Reload) {
+fn started(file: &File) -> (CurrentSettings, SettingsReloader) {
     let settings = NodeSettings::load(file.write(&text("127.0.0.1:2", 3_000, 8)));
-    let in_force = InForce::new(settings.expect("the file is whole"));
+    let current_settings = CurrentSettings::new(settings.expect("the file is whole"));
     let clock = Arc::new(RuntimeClock::starting_at(Duration::from_secs(1)));
     let journal = Journal::new(clock, "vm-1", None).expect("no metrics, no port");
-    (in_force.clone(), Reload::new(in_force, journal))
+    (
+        current_settings.clone(),
+        SettingsReloader::new(current_settings, journal),
+    )
 }
 
 struct Case {
@@ -105,12 +108,12 @@
         },
     ];
     let file = File::new("cases");
-    let (in_force, mut reload) = started(&file);
+    let (current_settings, mut reload) = started(&file);
     for case in cases {
         file.write(&case.text);
-        assert_eq!(reload.look(), case.taken, "{}", case.name);
-        assert!(!reload.look(), "{}: once", case.name);
-        let now = in_force.now();
+        assert_eq!(reload.reload_if_changed(), case.taken, "{}", case.name);
+        assert!(!reload.reload_if_changed(), "{}: once", case.name);
+        let now = current_settings.now();
         assert_eq!(now.seeds[0].to_string(), case.seed, "{}", case.name);
         assert_eq!(now.lease_ms, case.lease_ms, "{}", case.name);
         let grace = Duration::from_secs(case.grace_s);
@@ -121,9 +124,9 @@
 #[test]
 fn keys_that_wait_for_a_restart_are_named() {
     let file = File::new("keys");
-    let (in_force, _) = started(&file);
+    let (current_settings, _) = started(&file);
     let new = NodeSettings::load(file.write(&text("127.0.0.1:9", 3_000, 20)));
-    let changes = in_force.take(&new.expect("the file is whole"));
-    assert_eq!(changes.in_force, ["seeds"]);
-    assert_eq!(changes.at_restart, ["grace_s"]);
+    let changes = current_settings.apply(&new.expect("the file is whole"));
+    assert_eq!(changes.applied, ["seeds"]);
+    assert_eq!(changes.needs_restart, ["grace_s"]);
 }
