--- a/crates/node/src/scaling/calls.rs
+++ b/crates/node/src/scaling/calls.rs
@@ -19,10 +19,10 @@
 /// that a late order of its predecessor still arrives a full lease before its own.
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause before the platform is asked again for upstreams that it did not have.
+/// Delay before upstreams are ordered again that the platform did not have.
 const ASK_AGAIN: Duration = Duration::from_secs(5);
 
-/// Fraction of the allowed calls per second that orders use; the rest is left to other duties.
+/// Fraction of the allowed calls per second that orders use; the rest is for other duties.
 const CALLS_PART: f64 = 0.5;
 
 impl Scaler {
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -28,7 +28,7 @@
                 demand.samples = demand.samples.saturating_add(samples);
                 demand.largest_step = demand.largest_step.max(samples);
             }
-            // A model without a named version is used by no trainer.
+            // No trainer uses a model without a named version.
             None => demand.is_complete &= !named.iter().any(|held| held.model == model),
         }
     }
--- a/crates/node/src/scaling/inquiry.rs
+++ b/crates/node/src/scaling/inquiry.rs
@@ -1,7 +1,7 @@
 //! Limits how often upstreams are asked for the number of their requests.
 //!
-//! **Failure:** while a reduction is wanted but not possible, the holder asks all upstreams
-//! in each round. **Guard:** those of a service are asked at most once per boot time.
+//! While a reduction is wanted but not possible, the holder would ask all upstreams in each round.
+//! The upstreams of a service are therefore asked at most once per boot time.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,8 +17,8 @@
 }
 
 impl Inquiries {
-    /// Whether the upstreams of a service may be asked now. If so, records them as asked. `boot`
-    /// is the boot time of its upstreams.
+    /// Whether the upstreams of a service may be asked now. If so, records that they were. `boot`
+    /// is their boot time.
     #[must_use]
     pub fn take(&mut self, service: &str, now: Instant, boot: Duration) -> bool {
         let apart = boot.max(LEAST_APART);
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -45,7 +45,8 @@
 /// because each check wakes up every VM of the fleet.
 const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// Shortest pause after an order that was not taken; up to the same time is added as jitter.
+/// Minimum delay before an order that was not taken is sent again; jitter of up to the same
+/// time is added.
 const SEND_AGAIN: Duration = Duration::from_millis(500);
 
 /// Time-out of a report; an upstream answers within milliseconds.
@@ -83,7 +84,7 @@
 pub(super) struct Progress {
     /// The epoch under which it orders.
     pub(super) epoch: u64,
-    /// Sorted by service and zone.
+    /// Orders by service and zone, in this order.
     pub(super) subjects: Vec<Subject>,
     /// When the last order was sent; `None` before the first one.
     pub(super) last_sent: Option<Instant>,
@@ -195,7 +196,7 @@
         }))
     }
 
-    /// Takes over the last orders of a subject, within its current limits.
+    /// Takes over the last orders of a service in a zone, within its current limits.
     fn take_over(&self, subject: &mut Subject, record: &Record) {
         let (config, now) = (self.parts.fleet.config(), self.parts.clock.now());
         let Some(service) = config.service(&subject.service) else {
@@ -245,7 +246,7 @@
         }
         for order in due {
             let subject = &mut progress.subjects[places[order.zone]];
-            // An unconfirmed order of the same kind has to be answered first.
+            // An unconfirmed order of the same capacity type has to be answered first.
             if subject.line(order.capacity_type).unconfirmed.is_some() {
                 continue;
             }
@@ -318,7 +319,7 @@
     }
 }
 
-/// Indices of a service's subjects, in the order of `zone_prices`. Adds missing subjects.
+/// Indices of the orders of a service's zones, in the order of `zone_prices`. Adds missing ones.
 pub(super) fn places_of(progress: &mut Progress, scaled: &Scaled<'_>) -> Vec<usize> {
     let service = scaled.service.name.as_str();
     let zones = scaled.limits.zone_prices.iter();
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -1,8 +1,8 @@
 //! Orders of one service in one availability zone, and their record in the store.
 //!
-//! **Failure:** a holder sends an order and dies; its successor does not know that order and sends
-//! a different one. **Guard:** an order is written to the store before it is first sent. A
-//! successor reads it there and sends the same one first.
+//! If a holder sent an order and died, a successor that does not know the order would send a
+//! different one. An order is therefore written to the store before it is first sent. A successor
+//! reads it there and sends the same one first.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 use crate::dialect::StoreError;
 use crate::store::Store;
 
-/// The last orders of a subject as stored.
+/// The last orders of a service in a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Id of the write, by which a holder recognises its own write.
@@ -56,14 +56,15 @@
     previous: Option<PlacedOrder>,
 }
 
-/// Orders of one kind of upstream in a zone.
+/// Orders of one capacity type in a zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Line {
     /// The last order; `None` if the list of upstreams alone counts.
     ordered: Option<PlacedOrder>,
     /// The order that is to be sent, or sent again; `None` if all are confirmed.
     pub unconfirmed: Option<Unconfirmed>,
-    /// The platform is not asked for more of this kind before this time; `None` if it may be.
+    /// Earliest time at which more of this type are ordered, after the platform had none; `None` if
+    /// there is no limit.
     unavailable_until: Option<Instant>,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl Subject {
-    /// A subject without any order.
+    /// A zone without any order.
     #[must_use]
     pub fn new(service: &str, zone: &str) -> Self {
         Self {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// A subject with a record of an earlier holder. Its orders count after [`Self::take_over`].
+    /// A zone with a record of an earlier holder. Its orders count after [`Self::take_over`].
     #[must_use]
     pub fn recorded(record: &Record, revision: u64) -> Self {
         let mut subject = Self::new(&record.service, &record.zone);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// State of the orders of a kind.
+    /// Orders of a capacity type.
     #[must_use]
     pub const fn line(&self, capacity_type: CapacityType) -> &Line {
         &self.lines[capacity_type as usize]
@@ -130,7 +131,7 @@
         &mut self.lines[capacity_type as usize]
     }
 
-    /// Number last ordered of a kind; `None` if there is no order.
+    /// Number last ordered of a capacity type; `None` if there is no order.
     #[must_use]
     pub fn last(&self, capacity_type: CapacityType) -> Option<u32> {
         self.line(capacity_type)
@@ -138,7 +139,7 @@
             .map(|ordered| ordered.count)
     }
 
-    /// Adds an order that is to be sent. `listed` is the number of upstreams of its kind now.
+    /// Adds an order that is to be sent. `listed` is the present number of upstreams of its type.
     pub fn order(&mut self, order: Order, listed: u32, now: Instant) {
         let line = self.line_mut(order.capacity_type);
         let previous = line.ordered;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Records that the platform has no more of a kind, and that it is not asked before `until`.
+    /// Records that the platform has no more of a type, and that none are ordered before `until`.
     pub fn note_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
         let line = self.line_mut(capacity_type);
         let unconfirmed = line.unconfirmed.take();
@@ -171,7 +172,7 @@
         line.unavailable_until = Some(until);
     }
 
-    /// Schedules an order again that got no answer or could not be carried out at the moment.
+    /// Schedules a retry of an order that got no answer or could not be carried out.
     pub fn send_again(&mut self, capacity_type: CapacityType, from: Instant) {
         if let Some(unconfirmed) = &mut self.line_mut(capacity_type).unconfirmed {
             unconfirmed.from = from;
@@ -194,7 +195,7 @@
         }
         let mut ordered = self.lines.iter().filter_map(|line| line.ordered);
         let mut unconfirmed = self.lines.iter().filter_map(|line| line.unconfirmed);
-        // Until the platform confirms a reduction it may still have all of that kind.
+        // Until the platform confirms a reduction, all upstreams of that type may still exist.
         let is_reducing = unconfirmed.any(|held| held.order.count < held.order.before);
         let is_unconfirmed = self.lines.iter().any(|line| line.unconfirmed.is_some());
         Zone {
@@ -267,8 +268,7 @@
     }
 }
 
-/// Subjects with their records, sorted by service and zone. Records that cannot be read are
-/// logged.
+/// Orders with their records, sorted by service and zone. Records that cannot be read are logged.
 #[must_use]
 pub fn read_records(objects: &[Object], store: &Store) -> Vec<(Subject, Record)> {
     let read = |object: &Object| {
--- a/crates/node/src/usage/collect.rs
+++ b/crates/node/src/usage/collect.rs
@@ -1,4 +1,4 @@
-//! What a node was told of the counts of others.
+//! Counts that a node has received from all processes.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::usage::tally::Window;
 use crate::usage::time::Offset;
 
-/// Processes that are remembered: twice as many as there may be nodes.
+/// Number of processes that are remembered: twice the maximum number of nodes.
 const PROCESSES_KEPT: usize = 1_024;
 
-/// What one process has counted that was not reported yet, in full each time.
+/// All counts of one process that are not reported yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Names the process: one that starts again counts anew.
+    /// Id of the process; a restarted node has a new one, with counts of its own.
     pub process: String,
-    /// True time as it alone knows it, in milliseconds since 1970.
+    /// True time by the process's own clock, in milliseconds since 1970.
     pub own_time_ms: u64,
-    /// Its counts.
+    /// The counts.
     pub tally: Tally,
 }
 
-/// One process as this node was told of it.
+/// Counts received from one process.
 #[derive(Debug)]
 struct Known {
     process: String,
@@ -33,7 +33,7 @@
     tally: Tally,
 }
 
-/// The counts of all processes.
+/// Counts of all processes.
 #[derive(Debug, Default)]
 pub struct Collected {
     /// Sorted by process.
@@ -41,7 +41,7 @@
 }
 
 impl Collected {
-    /// Takes in what a process tells, at this time since the system's start.
+    /// Merges the counts of a process. `now` is the time since the system's start.
     pub fn take(&mut self, told: Told, now: Duration) {
         let own_time = Duration::from_millis(told.own_time_ms);
         let offset = Offset::between(own_time, now);
@@ -68,7 +68,8 @@
         }
     }
 
-    /// What was told, for a node that begins to collect.
+    /// All received counts, for a node that has become the holder. `now` is the time since the
+    /// system's start.
     #[must_use]
     pub fn copies(&self, now: Duration) -> Vec<Told> {
         let told = self.known.iter().map(|known| Told {
@@ -79,7 +80,7 @@
         told.collect()
     }
 
-    /// Requests of one window by account, all processes together.
+    /// Requests of all processes in one window, by account.
     #[must_use]
     pub fn sum(&self, window: Window) -> Vec<AccountCount> {
         let mut sum = Vec::new();
@@ -89,7 +90,7 @@
         sum
     }
 
-    /// The first window that anyone has counted in.
+    /// The first window with a count; `None` if there is none.
     #[must_use]
     pub fn first(&self) -> Option<Window> {
         self.known
@@ -98,14 +99,14 @@
             .min()
     }
 
-    /// Forgets windows up to this one.
+    /// Removes the windows up to and including this one.
     pub fn forget_through(&mut self, window: Window) {
         for known in &mut self.known {
             known.tally.forget_through(window);
         }
     }
 
-    /// The median of all offsets.
+    /// Median of the clock offsets of all processes; `None` if no process is known.
     #[must_use]
     pub fn offset(&self) -> Option<Offset> {
         Offset::median(self.known.iter().map(|known| known.offset).collect())
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -1,8 +1,8 @@
-//! What this node counts, and how it reaches the node that reports it.
+//! Counts requests on this node and sends the counts to the node that reports them.
 //!
-//! Each node counts for itself and tells the holder of the duty all that was not reported yet,
-//! soon after something changes. A holder that is new gets it all again; what nodes had counted
-//! that are gone since lies at a second node too, a seed.
+//! Each node counts its own requests. Soon after a change it sends all counts that are not
+//! reported yet to the holder of the duty, so that a new holder receives them in full. A seed
+//! node keeps a copy, from which a new holder gets the counts of nodes that are gone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,47 +31,47 @@
 use crate::usage::tally::Window;
 use crate::usage::time::Offset;
 
-/// Path at which a node is told what others have counted, and tells what it was told.
+/// Path at which a node receives counts of others and returns all that it has received.
 pub const USAGE_PATH: &str = "/peer/usage";
 
-/// What has changed is told this much later, with what changes until then. A node that dies
-/// takes it along.
+/// Delay before new counts are sent, so that one message carries several. They are lost if the
+/// node dies before.
 const TELL_AFTER: Duration = Duration::from_millis(300);
 
-/// What was not reported yet is told again after this: the holder may have started anew.
+/// Interval at which unreported counts are sent again, because the holder may have restarted.
 const TELL_AGAIN: Duration = Duration::from_secs(2);
 
-/// A node with nothing to tell tells its time this often. Seeds do so as often as if they
-/// had something, so that a holder that is gone is found out where nobody calls.
+/// Interval at which a node without unreported counts sends its time. Seed nodes use
+/// `TELL_AGAIN` instead, so that a dead holder is detected even without any requests.
 const TELL_TIME: Duration = Duration::from_secs(10);
 
-/// A holder that did not answer is told again after this.
+/// Delay before a message that the holder did not answer is sent again.
 const TELL_FAILED: Duration = Duration::from_millis(800);
 
-/// A node is told for at most this long.
+/// Time-out of a message to another node.
 const TELL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What a node says that was told.
+/// Answer of a node that has received counts.
 #[derive(Debug, Serialize, Deserialize)]
 struct Heard {
-    /// True time as all nodes together know it, in milliseconds since 1970.
+    /// True time by the clocks of all nodes, in milliseconds since 1970.
     true_time_ms: u64,
-    /// Windows up to this one are reported.
+    /// The last reported window; `None` if none is known.
     reported: Option<Window>,
 }
 
 #[derive(Debug)]
 struct State {
     own: Tally,
-    /// True time as this node alone knows it.
+    /// Offset by this node's own clock.
     own_offset: Offset,
-    /// The same as the holder told it.
+    /// Offset by the clocks of all nodes; `None` until it is known.
     told_offset: Option<Offset>,
-    /// What others told this node.
+    /// Counts received from other nodes, and from this one while it is the holder.
     collected: Collected,
-    /// Windows up to this one are reported.
+    /// The last reported window; `None` if none is known.
     reported: Option<Window>,
-    /// Something was counted since it was last told.
+    /// Whether a request was counted since the counts were last sent.
     is_new: bool,
 }
 
@@ -85,12 +85,12 @@
     counted: Notify,
 }
 
-/// What a counting works with.
+/// Dependencies of a [`Counting`].
 #[derive(Debug)]
 pub struct CountingParts {
-    /// Names this process.
+    /// Id of this process.
     pub process: String,
-    /// Settings, with the length of windows, and seeds.
+    /// Settings, which contain the length of windows and the seed nodes.
     pub settings: CurrentSettings,
     /// Connections to other nodes.
     pub connections: ConnectionPool,
@@ -100,14 +100,14 @@
     pub boot_clock: Arc<dyn BootClock>,
 }
 
-/// Counts requests of accounts; cheap to clone.
+/// Counts requests of accounts. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Counting {
     inner: Arc<Inner>,
 }
 
-/// A request that was handed to an upstream. It counts as begun, whatever becomes of its
-/// answer or its client, unless the upstream says that it did not run it.
+/// A request that is sent to an upstream. It is counted when this value is dropped, even if its
+/// answer fails or its client leaves, unless the upstream says that it did not run it.
 #[derive(Debug)]
 pub struct Handed {
     counting: Counting,
@@ -116,7 +116,7 @@
 }
 
 impl Handed {
-    /// The upstream did not run it.
+    /// Excludes the request from the counts because the upstream did not run it.
     pub fn did_not_run(mut self) {
         self.account = None;
     }
@@ -131,7 +131,7 @@
 }
 
 impl Counting {
-    /// Nothing was counted yet.
+    /// A counter without any counts. Reads the time of day.
     #[must_use]
     pub fn new(parts: CountingParts) -> Self {
         let own_offset = Offset::between(parts.clock.since_epoch(), parts.boot_clock.since_boot());
@@ -156,7 +156,8 @@
         }
     }
 
-    /// A request of an account is about to be handed to an upstream.
+    /// Tracks a request that is about to be sent to an upstream; one without an account is not
+    /// counted.
     #[must_use]
     pub fn hand(&self, account: Option<&str>) -> Handed {
         Handed {
@@ -173,7 +174,7 @@
         };
         let mut state = self.lock();
         let window = Window::of(state.offset().true_time(at), usage.window());
-        // What is reported is not reported again.
+        // A reported window is final.
         if state.reported.is_some_and(|reported| window <= reported) {
             return;
         }
@@ -183,14 +184,14 @@
         self.inner.counted.notify_one();
     }
 
-    /// True time since 1970, as well as this node knows it.
+    /// True time since 1970, to this node's knowledge.
     #[must_use]
     pub fn true_time(&self) -> Duration {
         let now = self.inner.boot_clock.since_boot();
         self.lock().offset().true_time(now)
     }
 
-    /// Tells the holder and a seed what this node counts, for as long as the process lives.
+    /// Never returns; sends this node's counts to the holder and a seed node.
     pub async fn run(self, holder: DutyHolder) {
         loop {
             if self.inner.settings.now().usage.is_none() {
@@ -203,14 +204,14 @@
                 Err(_) => TELL_FAILED,
             };
             let counted = self.inner.counted.notified();
-            // Late or not, all is told.
+            // All counts are sent, whether the pause has ended or there are new ones.
             if tokio::time::timeout(pause, counted).await.is_ok() {
                 tokio::time::sleep(TELL_AFTER).await;
             }
         }
     }
 
-    /// This node has something to tell again, or looks after the holder.
+    /// Whether this node has unreported counts or, as a seed node, watches the holder.
     fn has_more(&self) -> bool {
         let settings = self.inner.settings.now();
         let is_seed = settings
@@ -219,7 +220,7 @@
         is_seed || self.lock().own.first().is_some()
     }
 
-    /// Tells the holder, if one is known.
+    /// Sends this node's counts to the holder, if one is known, and new ones to a seed node too.
     async fn tell(&self, duty: &DutyHolder) -> Result<(), CallError> {
         let (told, is_new) = {
             let mut state = self.lock();
@@ -231,7 +232,7 @@
         if let Some(copy_at) = self.copy_at(holder, me).filter(|_| is_new) {
             let (counting, told) = (self.clone(), told.clone());
             drop(tokio::spawn(async move {
-                // The holder has it too; a copy that is lost comes with the next count.
+                // The holder has the counts too, and the next copy contains them again.
                 drop(counting.tell_to(copy_at, &told).await);
             }));
         }
@@ -258,7 +259,7 @@
         }
     }
 
-    /// The seed that keeps a copy.
+    /// The seed node that keeps a copy; `None` if there is no other than the holder and this node.
     fn copy_at(&self, holder: Option<SocketAddr>, me: Option<SocketAddr>) -> Option<SocketAddr> {
         let settings = self.inner.settings.now();
         let seeds = settings.seeds.iter().copied();
@@ -267,7 +268,7 @@
     }
 
     async fn tell_to(&self, node: SocketAddr, told: &Told) -> Result<Heard, CallError> {
-        // Strings and numbers only: writing them to memory cannot fail.
+        // Strings and numbers only, so that encoding cannot fail.
         let body = serde_json::to_vec(told).unwrap_or_default();
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
@@ -288,7 +289,8 @@
         state.note_reported(heard.reported);
     }
 
-    /// Takes in what another node tells; `None` if it is malformed.
+    /// Merges counts that another node has sent and returns the answer; `None` if they are
+    /// malformed.
     pub fn answer(&self, body: &[u8]) -> Option<Bytes> {
         let told: Told = serde_json::from_slice(body).ok()?;
         self.take(told);
@@ -302,12 +304,12 @@
         serde_json::to_vec(&heard).ok().map(Bytes::from)
     }
 
-    /// All that this node was told, for one that begins to collect.
+    /// All counts that this node has received, as JSON, for a new holder.
     #[must_use]
     pub fn copies(&self) -> Bytes {
         let now = self.inner.boot_clock.since_boot();
         let copies = self.lock().collected.copies(now);
-        // Strings and numbers only: writing them to memory cannot fail.
+        // Strings and numbers only, so that encoding cannot fail.
         serde_json::to_vec(&copies).unwrap_or_default().into()
     }
 
@@ -321,7 +323,7 @@
         state.told_offset = state.collected.offset();
     }
 
-    /// Gets what the seeds were told, for a node that begins to collect.
+    /// Merges the counts that seed nodes have received, for a new holder.
     pub async fn fetch_copies(&self) {
         let settings = self.inner.settings.now();
         let seeds = settings.seeds.iter().copied();
@@ -344,12 +346,12 @@
         }
     }
 
-    /// What was collected of a window, and the first window that was counted in.
+    /// Calls `look` with the counts received from all processes.
     pub(crate) fn with_collected<T>(&self, look: impl FnOnce(&mut Collected) -> T) -> T {
         look(&mut self.lock().collected)
     }
 
-    /// Notes that windows up to this one are reported.
+    /// Records that the windows up to and including this one are reported.
     pub(crate) fn note_reported(&self, window: Window) {
         self.lock().note_reported(Some(window));
     }
--- a/crates/node/src/usage/mod.rs
+++ b/crates/node/src/usage/mod.rs
@@ -1,11 +1,11 @@
-//! Usage of client accounts: how many of their requests upstreams began, for each window
+//! Usage of client accounts: the number of their requests that upstreams started, for each window
 //! of true time, reported once to the platform.
 //!
-//! - [`tally`]: counts of windows, and how those of many nodes come together.
-//! - [`time`]: true time from clocks of which some are wrong.
-//! - [`counting`]: what this node counts, and tells the holder of the duty.
-//! - [`collect`]: what the holder was told.
-//! - [`report`]: what the holder reports.
+//! - [`tally`]: counts by window and account, and how counts of many nodes are merged.
+//! - [`time`]: true time from clocks some of which are wrong.
+//! - [`counting`]: counts of this node, which it sends to the holder of the duty.
+//! - [`collect`]: counts received from all processes.
+//! - [`report`]: reports of the holder to the platform.
 
 pub mod collect;
 pub mod counting;
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -1,9 +1,9 @@
 //! Reports usage to the platform, each window once.
 //!
-//! **Failure:** a holder reports a window and dies; its successor has heard a little more or
-//! less, and the platform gets two reports of one window that differ. **Guard:** what is reported
-//! of a window is written to the store before it is first sent, under the window's number.
-//! Whoever comes second finds it there and sends the same.
+//! If a holder reports a window and dies, its successor may have received slightly different
+//! counts, and the platform would get two different reports of one window. A report is therefore
+//! written to the store, under the number of its window, before it is first sent. A successor
+//! reads it there and sends the same one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,47 +32,48 @@
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Window;
 
-/// Time between looks at whether a window is due.
+/// Time between two checks whether a window is due.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether this node has the duty: each wakes up every VM of a fleet.
+/// Time between two checks whether this node has the duty. It is longer than `LOOK_EVERY`
+/// because each check wakes up every VM of the fleet.
 const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// Part of the time that a report may take after its window's end at which its counts are
-/// fixed: requests in flight and nodes that answer late are in by then, and the rest is for
-/// a store or platform that is away.
+/// Fraction of the time allowed for a report, after its window's end, at which its counts become
+/// final. By then requests in flight and late messages are counted; the rest of the time is for
+/// a store or platform that is unavailable.
 const SETTLE_PART: f64 = 0.3;
 
-/// A holder that is new fixes nothing before the others have told it what they counted: they
-/// hear of it within a second, and tell it all again.
+/// Time in which a new holder only collects counts: other nodes learn of it within a second and
+/// send it all of theirs.
 const GATHER: Duration = Duration::from_millis(2_500);
 
-/// A store that is silent is tried for so long before the loop looks anew.
+/// Time for which a write to a store that does not answer is tried in one round.
 const FIX_FOR: Duration = Duration::from_secs(1);
 
-/// The platform answers a report in milliseconds.
+/// Time-out of a report; the platform answers within milliseconds.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a report that was not taken.
+/// Pause after a report that the platform did not take, or a failed access to the store.
 const SEND_AGAIN: Duration = Duration::from_millis(500);
 
-/// Reports that stay in the store: a successor sends the newest ones again.
+/// Number of reports kept in the store, of which a successor sends the newest ones again.
 const REPORTS_KEPT: u64 = 12;
 
-/// What is reported of one window, as it stands in the store.
+/// Report of one window as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Fixed {
-    /// Names the write that made this value.
+    /// Id of the write, by which a holder recognises its own write.
     write: String,
     window: Window,
     /// Sorted by account.
     counts: Vec<AccountCount>,
 }
 
-/// What a reporter works with.
+/// Dependencies of a [`Reporter`].
 #[derive(Debug)]
 pub struct ReporterParts {
-    /// What all nodes count.
+    /// Counts of all nodes.
     pub counting: Counting,
     /// The duty of reporting.
     pub holder: DutyHolder,
@@ -80,9 +81,9 @@
     pub store: Store,
     /// Connections to the platform.
     pub connections: ConnectionPool,
-    /// Writes reports.
+    /// Encodes reports for the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Settings, with where reports go.
+    /// Settings, which name the address for reports.
     pub settings: CurrentSettings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
@@ -94,32 +95,32 @@
 #[derive(Debug)]
 pub struct Reporter {
     parts: ReporterParts,
-    /// True time as this process started.
+    /// True time at this process's start.
     started: Duration,
 }
 
-/// Where a holder stands.
+/// State of a holder.
 #[derive(Debug)]
 struct Progress {
-    /// The first window whose counts are not fixed yet.
+    /// The first window whose counts are not final.
     next: Window,
     /// Reports to send, oldest first.
     unsent: Vec<Fixed>,
     /// The oldest window whose report may be in the store.
     oldest: Window,
-    /// Nothing is fixed before this time.
+    /// End of the time in which a new holder only collects counts.
     gathered: Instant,
 }
 
 impl Reporter {
-    /// Nothing is reported yet.
+    /// A reporter that has not reported anything.
     #[must_use]
     pub fn new(parts: ReporterParts) -> Self {
         let started = parts.counting.true_time();
         Self { parts, started }
     }
 
-    /// Reports for as long as the process lives, whenever it holds the duty.
+    /// Never returns; reports whenever this node holds the duty.
     pub async fn run(self) {
         let mut progress = None;
         let mut pause = LOOK_EVERY;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Finds out what earlier holders have reported.
+    /// Reads the reports of earlier holders, and the counts that seed nodes have received.
     async fn begin(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
         let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
@@ -163,7 +164,7 @@
         };
         let too_late = now.saturating_sub(usage.due_after() + usage.window());
         let oldest = fixed.first().map_or(first, |fixed| fixed.window);
-        // An earlier holder may not have come to send the newest ones.
+        // An earlier holder may have died before it sent the newest ones.
         fixed.retain(|fixed| fixed.window.end(usage.window()) > too_late);
         Ok(Progress {
             next: first.max(Window::of(too_late, usage.window())),
@@ -173,7 +174,7 @@
         })
     }
 
-    /// The window to begin with where none was ever reported.
+    /// The first window to report if none was ever reported.
     fn first_ever(&self, usage: &UsageSettings) -> Window {
         let counting = &self.parts.counting;
         let counted = counting.with_collected(|collected| collected.first());
@@ -216,7 +217,8 @@
         parts.clock.now() >= progress.gathered && parts.counting.true_time() >= fix_at
     }
 
-    /// Fixes what is reported of a window: by this node, or as an earlier holder has.
+    /// Writes the report of a window to the store; if an earlier holder has written one, returns
+    /// that.
     async fn fix(&self, window: Window) -> Result<Fixed, StoreError> {
         let store = &self.parts.store;
         let counts = self
@@ -251,7 +253,7 @@
         fixed.ok()
     }
 
-    /// Whether the platform has taken a report.
+    /// Sends a report and returns whether the platform has taken it.
     async fn send(&self, fixed: &Fixed, usage: &UsageSettings) -> bool {
         let parts = &self.parts;
         let Some(epoch) = parts.holder.verified_epoch().await else {
@@ -305,7 +307,7 @@
     }
 }
 
-/// Name of a window's report, in the order of their numbers.
+/// Name of a window's report in the store. Names sort like the numbers of windows.
 fn name_of(window: Window) -> String {
     format!("{:012}", window.0)
 }
--- a/crates/node/src/usage/tally.rs
+++ b/crates/node/src/usage/tally.rs
@@ -5,21 +5,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Windows that are kept at most: what is older can be reported no more.
+/// Number of windows that are kept; older ones can no longer be reported.
 const WINDOWS_KEPT: usize = 64;
 
-/// Number of a window: how many of its length fit between 1970 and its start.
+/// Number of a window: number of windows of the same length between 1970 and its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window that a time since 1970 lies in.
+    /// The window that contains a time since 1970.
     #[must_use]
     pub fn of(since_epoch: Duration, length: Duration) -> Self {
         Self((since_epoch.as_millis() / length.as_millis().max(1)) as u64)
     }
 
-    /// Its end, since 1970.
+    /// End of the window, since 1970.
     #[must_use]
     pub fn end(self, length: Duration) -> Duration {
         Duration::from_millis((self.0 + 1) * length.as_millis() as u64)
@@ -37,7 +37,7 @@
 pub struct AccountCount {
     /// Name of the account.
     pub account: String,
-    /// Its requests that an upstream began.
+    /// Number of its requests that an upstream started.
     pub requests: u64,
 }
 
@@ -50,7 +50,7 @@
     pub counts: Vec<AccountCount>,
 }
 
-/// Requests by window; its counts only grow.
+/// Requests by window and account. Counts only grow.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// Sorted by window.
@@ -66,7 +66,7 @@
         self.windows.drain(..surplus);
     }
 
-    /// Takes in a later state of the same counts, which may have been overtaken on its way.
+    /// Merges another state of the same counts, which may be older than this one.
     pub fn take_later(&mut self, later: &Self) {
         for held in &later.windows {
             let counts = self.of_mut(held.window);
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Forgets windows up to this one.
+    /// Removes the windows up to and including this one.
     pub fn forget_through(&mut self, window: Window) {
         self.windows.retain(|held| held.window > window);
     }
 
-    /// The first window with a count.
+    /// The first window with a count; `None` if there is none.
     #[must_use]
     pub fn first(&self) -> Option<Window> {
         self.windows.first().map(|held| held.window)
--- a/crates/node/src/usage/time.rs
+++ b/crates/node/src/usage/time.rs
@@ -1,19 +1,19 @@
 //! True time from the clocks of many nodes.
 //!
-//! **Failure:** the time of day of some VMs jumps by seconds and back; a request is counted
-//! in a window that it was not in, and a holder closes windows too early. **Guard:** a node looks
-//! at its time of day once, as it starts, and goes on by a clock that never jumps. The
-//! holder takes the median of what all nodes then believe, so that those that started
-//! while their time was wrong do not count until they are half of all, and tells it to them.
+//! The time of day of some VMs jumps by seconds and back: requests would be counted in the wrong
+//! window, and a holder would close windows too early. A node therefore reads its time of day
+//! only once, at its start, and then relies on a clock that never jumps. The holder sends all
+//! nodes the median of their times, which nodes that started with a wrong time of day do not
+//! affect until they are half of all.
 
 use std::time::Duration;
 
-/// How far true time is ahead of a node's own steady clock.
+/// Offset of true time since 1970 from the time since the system's start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offset(Duration);
 
 impl Offset {
-    /// The offset with which `since_epoch` is now, at this time since the system's start.
+    /// Offset that maps `since_boot`, the time since the system's start, to `since_epoch`.
     #[must_use]
     pub const fn between(since_epoch: Duration, since_boot: Duration) -> Self {
         Self(since_epoch.saturating_sub(since_boot))
@@ -25,7 +25,7 @@
         since_boot.saturating_add(self.0)
     }
 
-    /// The median of these; `None` if there is none.
+    /// Median of the offsets; `None` if there are none.
     #[must_use]
     pub fn median(mut offsets: Vec<Self>) -> Option<Self> {
         offsets.sort_unstable();
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of windows, and true time from clocks of which some are wrong.
+//! Counts by window, and true time from clocks some of which are wrong.
 
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
     assert_eq!(Window(1).end(LENGTH), LENGTH * 2);
 }
 
-/// A message that was overtaken on its way, or came twice, must not change a count.
+/// Guards against a message that arrives late or twice and changes a count.
 #[test]
 fn what_is_told_twice_or_late_counts_once() {
     let early = tally(&[(7, "kudu", 2)]);
@@ -106,8 +106,8 @@
     );
 }
 
-/// The time of day of some VMs is seconds off as their nodes start; reports of windows
-/// were early or late with them.
+/// Guards against reports that are early or late because the time of day of some VMs is wrong by
+/// seconds when their nodes start.
 #[test]
 fn clocks_that_are_wrong_do_not_count_until_they_are_half() {
     let now = Duration::from_secs(100);
