--- a/crates/node/src/usage/collect.rs
+++ b/crates/node/src/usage/collect.rs
@@ -11,7 +11,7 @@
 use crate::usage::time::Offset;
 
 /// Number of processes that are remembered: twice the maximum number of nodes.
-const PROCESSES_KEPT: usize = 1_024;
+const MAX_PROCESSES: usize = 1_024;
 
 /// All counts of one process that are not reported yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,10 +26,10 @@
 
 /// Counts received from one process.
 #[derive(Debug)]
-struct Known {
-    process: String,
+struct Process {
+    id: String,
     offset: Offset,
-    told_at: Duration,
+    received_at: Duration,
     tally: Tally,
 }
 
@@ -37,33 +37,33 @@
 #[derive(Debug, Default)]
 pub struct Collected {
     /// Sorted by process.
-    known: Vec<Known>,
+    processes: Vec<Process>,
 }
 
 impl Collected {
     /// Merges the counts of a process. `now` is the time since the system's start.
-    pub fn take(&mut self, told: Told, now: Duration) {
-        let own_time = Duration::from_millis(told.own_time_ms);
+    pub fn take(&mut self, received: Told, now: Duration) {
+        let own_time = Duration::from_millis(received.own_time_ms);
         let offset = Offset::between(own_time, now);
         match self
-            .known
-            .binary_search_by(|held| held.process.cmp(&told.process))
+            .processes
+            .binary_search_by(|process| process.id.cmp(&received.process))
         {
             Ok(at) => {
-                let known = &mut self.known[at];
-                known.offset = offset;
-                known.told_at = now;
-                known.tally.take_later(&told.tally);
+                let process = &mut self.processes[at];
+                process.offset = offset;
+                process.received_at = now;
+                process.tally.take_later(&received.tally);
             }
             Err(at) => {
-                let known = Known {
-                    process: told.process,
+                let process = Process {
+                    id: received.process,
                     offset,
-                    told_at: now,
-                    tally: told.tally,
+                    received_at: now,
+                    tally: received.tally,
                 };
-                self.known.insert(at, known);
-                self.forget_surplus();
+                self.processes.insert(at, process);
+                self.evict_oldest();
             }
         }
     }
@@ -72,20 +72,20 @@
     /// system's start.
     #[must_use]
     pub fn copies(&self, now: Duration) -> Vec<Told> {
-        let told = self.known.iter().map(|known| Told {
-            process: known.process.clone(),
-            own_time_ms: known.offset.true_time(now).as_millis() as u64,
-            tally: known.tally.clone(),
+        let copies = self.processes.iter().map(|process| Told {
+            process: process.id.clone(),
+            own_time_ms: process.offset.true_time(now).as_millis() as u64,
+            tally: process.tally.clone(),
         });
-        told.collect()
+        copies.collect()
     }
 
     /// Requests of all processes in one window, by account.
     #[must_use]
     pub fn sum(&self, window: Window) -> Vec<AccountCount> {
         let mut sum = Vec::new();
-        for known in &self.known {
-            known.tally.add_to(window, &mut sum);
+        for process in &self.processes {
+            process.tally.add_to(window, &mut sum);
         }
         sum
     }
@@ -93,30 +93,40 @@
     /// The first window with a count; `None` if there is none.
     #[must_use]
     pub fn first(&self) -> Option<Window> {
-        self.known
+        self.processes
             .iter()
-            .filter_map(|known| known.tally.first())
+            .filter_map(|process| process.tally.first())
             .min()
     }
 
     /// Removes the windows up to and including this one.
     pub fn forget_through(&mut self, window: Window) {
-        for known in &mut self.known {
-            known.tally.forget_through(window);
+        for process in &mut self.processes {
+            process.tally.forget_through(window);
         }
     }
 
     /// Median of the clock offsets of all processes; `None` if no process is known.
     #[must_use]
     pub fn offset(&self) -> Option<Offset> {
-        Offset::median(self.known.iter().map(|known| known.offset).collect())
+        Offset::median(
+            self.processes
+                .iter()
+                .map(|process| process.offset)
+                .collect(),
+        )
     }
 
-    fn forget_surplus(&mut self) {
-        if self.known.len() > PROCESSES_KEPT
-            && let Some(oldest) = self.known.iter().map(|known| known.told_at).min()
+    fn evict_oldest(&mut self) {
+        if self.processes.len() > MAX_PROCESSES
+            && let Some(oldest) = self
+                .processes
+                .iter()
+                .map(|process| process.received_at)
+                .min()
         {
-            self.known.retain(|known| known.told_at > oldest);
+            self.processes
+                .retain(|process| process.received_at > oldest);
         }
     }
 }
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counting.rs
@@ -36,24 +36,24 @@
 
 /// Delay before new counts are sent, so that one message carries several. They are lost if the
 /// node dies before.
-const TELL_AFTER: Duration = Duration::from_millis(300);
+const SEND_DELAY: Duration = Duration::from_millis(300);
 
 /// Interval at which unreported counts are sent again, because the holder may have restarted.
-const TELL_AGAIN: Duration = Duration::from_secs(2);
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Interval at which a node without unreported counts sends its time. Seed nodes use
-/// `TELL_AGAIN` instead, so that a dead holder is detected even without any requests.
-const TELL_TIME: Duration = Duration::from_secs(10);
+/// `RESEND_INTERVAL` instead, so that a dead holder is detected even without any requests.
+const IDLE_SEND_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Delay before a message that the holder did not answer is sent again.
-const TELL_FAILED: Duration = Duration::from_millis(800);
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Time-out of a message to another node.
-const TELL_TIMEOUT: Duration = Duration::from_millis(700);
+const SEND_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Answer of a node that has received counts.
 #[derive(Debug, Serialize, Deserialize)]
-struct Heard {
+struct CountsReply {
     /// True time by the clocks of all nodes, in milliseconds since 1970.
     true_time_ms: u64,
     /// The last reported window; `None` if none is known.
@@ -66,13 +66,13 @@
     /// Offset by this node's own clock.
     own_offset: Offset,
     /// Offset by the clocks of all nodes; `None` until it is known.
-    told_offset: Option<Offset>,
+    fleet_offset: Option<Offset>,
     /// Counts received from other nodes, and from this one while it is the holder.
     collected: Collected,
     /// The last reported window; `None` if none is known.
-    reported: Option<Window>,
+    reported_through: Option<Window>,
     /// Whether a request was counted since the counts were last sent.
-    is_new: bool,
+    has_new_counts: bool,
 }
 
 #[derive(Debug)]
@@ -138,10 +138,10 @@
         let state = State {
             own: Tally::default(),
             own_offset,
-            told_offset: None,
+            fleet_offset: None,
             collected: Collected::default(),
-            reported: None,
-            is_new: false,
+            reported_through: None,
+            has_new_counts: false,
         };
         let inner = Inner {
             process: parts.process,
@@ -175,11 +175,14 @@
         let mut state = self.lock();
         let window = Window::of(state.offset().true_time(at), usage.window());
         // A reported window is final.
-        if state.reported.is_some_and(|reported| window <= reported) {
+        if state
+            .reported_through
+            .is_some_and(|reported| window <= reported)
+        {
             return;
         }
         state.own.count(window, account);
-        state.is_new = true;
+        state.has_new_counts = true;
         drop(state);
         self.inner.counted.notify_one();
     }
@@ -195,62 +198,65 @@
     pub async fn run(self, holder: DutyHolder) {
         loop {
             if self.inner.settings.now().usage.is_none() {
-                tokio::time::sleep(TELL_TIME).await;
+                tokio::time::sleep(IDLE_SEND_INTERVAL).await;
                 continue;
             }
-            let pause = match self.tell(&holder).await {
-                Ok(()) if self.has_more() => TELL_AGAIN,
-                Ok(()) => TELL_TIME,
-                Err(_) => TELL_FAILED,
+            let pause = match self.send_counts(&holder).await {
+                Ok(()) if self.must_resend() => RESEND_INTERVAL,
+                Ok(()) => IDLE_SEND_INTERVAL,
+                Err(_) => RETRY_DELAY,
             };
             let counted = self.inner.counted.notified();
             // All counts are sent, whether the pause has ended or there are new ones.
             if tokio::time::timeout(pause, counted).await.is_ok() {
-                tokio::time::sleep(TELL_AFTER).await;
+                tokio::time::sleep(SEND_DELAY).await;
             }
         }
     }
 
     /// Whether this node has unreported counts or, as a seed node, watches the holder.
-    fn has_more(&self) -> bool {
+    fn must_resend(&self) -> bool {
         let settings = self.inner.settings.now();
         let is_seed = settings
             .peer_listen
-            .is_some_and(|me| settings.seeds.contains(&me));
+            .is_some_and(|own_address| settings.seeds.contains(&own_address));
         is_seed || self.lock().own.first().is_some()
     }
 
     /// Sends this node's counts to the holder, if one is known, and new ones to a seed node too.
-    async fn tell(&self, duty: &DutyHolder) -> Result<(), CallError> {
-        let (told, is_new) = {
+    async fn send_counts(&self, duty: &DutyHolder) -> Result<(), CallError> {
+        let (counts, has_new_counts) = {
             let mut state = self.lock();
-            let is_new = std::mem::take(&mut state.is_new);
-            (self.told(&state), is_new)
+            let has_new_counts = std::mem::take(&mut state.has_new_counts);
+            (self.own_counts(&state), has_new_counts)
         };
         let holder = duty.address();
-        let me = self.inner.settings.now().peer_listen;
-        if let Some(copy_at) = self.copy_at(holder, me).filter(|_| is_new) {
-            let (counting, told) = (self.clone(), told.clone());
+        let own_address = self.inner.settings.now().peer_listen;
+        if let Some(copy_seed) = self
+            .copy_seed(holder, own_address)
+            .filter(|_| has_new_counts)
+        {
+            let (counting, counts) = (self.clone(), counts.clone());
             drop(tokio::spawn(async move {
                 // The holder has the counts too, and the next copy contains them again.
-                drop(counting.tell_to(copy_at, &told).await);
+                drop(counting.send_to(copy_seed, &counts).await);
             }));
         }
         if duty.holds_duty() {
-            self.take(told);
-            self.take_own_median();
+            self.merge_counts(counts);
+            self.update_fleet_offset();
             return Ok(());
         }
         let Some(holder) = holder else {
             return Ok(());
         };
-        let heard = self.tell_to(holder, &told).await;
-        duty.record_call(heard.is_ok());
-        self.hear(&heard?);
+        let reply = self.send_to(holder, &counts).await;
+        duty.record_call(reply.is_ok());
+        self.apply_reply(&reply?);
         Ok(())
     }
 
-    fn told(&self, state: &State) -> Told {
+    fn own_counts(&self, state: &State) -> Told {
         let now = self.inner.boot_clock.since_boot();
         Told {
             process: self.inner.process.clone(),
@@ -260,48 +266,52 @@
     }
 
     /// The seed node that keeps a copy; `None` if there is no other than the holder and this node.
-    fn copy_at(&self, holder: Option<SocketAddr>, me: Option<SocketAddr>) -> Option<SocketAddr> {
+    fn copy_seed(
+        &self,
+        holder: Option<SocketAddr>,
+        own_address: Option<SocketAddr>,
+    ) -> Option<SocketAddr> {
         let settings = self.inner.settings.now();
         let seeds = settings.seeds.iter().copied();
-        let mut others = seeds.filter(|seed| Some(*seed) != holder && Some(*seed) != me);
+        let mut others = seeds.filter(|seed| Some(*seed) != holder && Some(*seed) != own_address);
         others.next()
     }
 
-    async fn tell_to(&self, node: SocketAddr, told: &Told) -> Result<Heard, CallError> {
+    async fn send_to(&self, node: SocketAddr, counts: &Told) -> Result<CountsReply, CallError> {
         // Strings and numbers only, so that encoding cannot fail.
-        let body = serde_json::to_vec(told).unwrap_or_default();
+        let body = serde_json::to_vec(counts).unwrap_or_default();
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = http::Uri::from_static(USAGE_PATH);
         let answer = self
             .inner
             .connections
-            .call(node, request, TELL_TIMEOUT)
+            .call(node, request, SEND_TIMEOUT)
             .await?;
         serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 
-    fn hear(&self, heard: &Heard) {
+    fn apply_reply(&self, reply: &CountsReply) {
         let now = self.inner.boot_clock.since_boot();
-        let true_time = Duration::from_millis(heard.true_time_ms);
+        let true_time = Duration::from_millis(reply.true_time_ms);
         let mut state = self.lock();
-        state.told_offset = Some(Offset::between(true_time, now));
-        state.note_reported(heard.reported);
+        state.fleet_offset = Some(Offset::between(true_time, now));
+        state.note_reported(reply.reported);
     }
 
     /// Merges counts that another node has sent and returns the answer; `None` if they are
     /// malformed.
     pub fn answer(&self, body: &[u8]) -> Option<Bytes> {
-        let told: Told = serde_json::from_slice(body).ok()?;
-        self.take(told);
+        let counts: Told = serde_json::from_slice(body).ok()?;
+        self.merge_counts(counts);
         let state = self.lock();
         let now = self.inner.boot_clock.since_boot();
         let offset = state.collected.offset().unwrap_or(state.own_offset);
-        let heard = Heard {
+        let reply = CountsReply {
             true_time_ms: offset.true_time(now).as_millis() as u64,
-            reported: state.reported,
+            reported: state.reported_through,
         };
-        serde_json::to_vec(&heard).ok().map(Bytes::from)
+        serde_json::to_vec(&reply).ok().map(Bytes::from)
     }
 
     /// All counts that this node has received, as JSON, for a new holder.
@@ -313,14 +323,14 @@
         serde_json::to_vec(&copies).unwrap_or_default().into()
     }
 
-    fn take(&self, told: Told) {
+    fn merge_counts(&self, counts: Told) {
         let now = self.inner.boot_clock.since_boot();
-        self.lock().collected.take(told, now);
+        self.lock().collected.take(counts, now);
     }
 
-    fn take_own_median(&self) {
+    fn update_fleet_offset(&self) {
         let mut state = self.lock();
-        state.told_offset = state.collected.offset();
+        state.fleet_offset = state.collected.offset();
     }
 
     /// Merges the counts that seed nodes have received, for a new holder.
@@ -333,7 +343,7 @@
             let Ok(answer) = self
                 .inner
                 .connections
-                .call(seed, request, TELL_TIMEOUT)
+                .call(seed, request, SEND_TIMEOUT)
                 .await
             else {
                 continue;
@@ -342,7 +352,7 @@
             copies
                 .unwrap_or_default()
                 .into_iter()
-                .for_each(|told| self.take(told));
+                .for_each(|counts| self.merge_counts(counts));
         }
     }
 
@@ -364,12 +374,12 @@
 
 impl State {
     fn offset(&self) -> Offset {
-        self.told_offset.unwrap_or(self.own_offset)
+        self.fleet_offset.unwrap_or(self.own_offset)
     }
 
     fn note_reported(&mut self, window: Option<Window>) {
-        if let Some(window) = window.filter(|window| Some(*window) > self.reported) {
-            self.reported = Some(window);
+        if let Some(window) = window.filter(|window| Some(*window) > self.reported_through) {
+            self.reported_through = Some(window);
             self.own.forget_through(window);
             self.collected.forget_through(window);
         }
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -33,36 +33,36 @@
 use crate::usage::tally::Window;
 
 /// Time between two checks whether a window is due.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two checks whether this node has the duty. It is longer than `LOOK_EVERY`
+/// Time between two checks whether this node has the duty. It is longer than `CHECK_INTERVAL`
 /// because each check wakes up every VM of the fleet.
-const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Fraction of the time allowed for a report, after its window's end, at which its counts become
 /// final. By then requests in flight and late messages are counted; the rest of the time is for
 /// a store or platform that is unavailable.
-const SETTLE_PART: f64 = 0.3;
+const SETTLE_FRACTION: f64 = 0.3;
 
 /// Time in which a new holder only collects counts: other nodes learn of it within a second and
 /// send it all of theirs.
-const GATHER: Duration = Duration::from_millis(2_500);
+const COLLECTION_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time for which a write to a store that does not answer is tried in one round.
-const FIX_FOR: Duration = Duration::from_secs(1);
+const STORE_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time-out of a report; the platform answers within milliseconds.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause after a report that the platform did not take, or a failed access to the store.
-const SEND_AGAIN: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Number of reports kept in the store, of which a successor sends the newest ones again.
-const REPORTS_KEPT: u64 = 12;
+const MAX_STORED_REPORTS: u64 = 12;
 
 /// Report of one window as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Fixed {
+struct WindowReport {
     /// Id of the write, by which a holder recognises its own write.
     write: String,
     window: Window,
@@ -103,13 +103,13 @@
 #[derive(Debug)]
 struct Progress {
     /// The first window whose counts are not final.
-    next: Window,
+    next_window: Window,
     /// Reports to send, oldest first.
-    unsent: Vec<Fixed>,
+    unsent: Vec<WindowReport>,
     /// The oldest window whose report may be in the store.
-    oldest: Window,
+    oldest_window: Window,
     /// End of the time in which a new holder only collects counts.
-    gathered: Instant,
+    collect_until: Instant,
 }
 
 impl Reporter {
@@ -123,75 +123,78 @@
     /// Never returns; reports whenever this node holds the duty.
     pub async fn run(self) {
         let mut progress = None;
-        let mut pause = LOOK_EVERY;
+        let mut pause = CHECK_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
             let usage = settings.usage.as_ref();
             let Some(usage) = usage.filter(|_| self.parts.holder.holds_duty()) else {
                 progress = None;
-                pause = IDLE_LOOK_EVERY;
+                pause = IDLE_CHECK_INTERVAL;
                 continue;
             };
-            pause = LOOK_EVERY;
+            pause = CHECK_INTERVAL;
             let outcome = match &mut progress {
-                None => self.begin(usage).await.map(|begun| progress = Some(begun)),
-                Some(progress) => self.go_on(progress, usage).await,
+                None => self
+                    .load_progress(usage)
+                    .await
+                    .map(|loaded| progress = Some(loaded)),
+                Some(progress) => self.report_due_windows(progress, usage).await,
             };
             if let Err(error) = outcome {
                 self.parts
                     .journal
                     .event("usage_not_fixed", &[("cause", &error)]);
-                tokio::time::sleep(SEND_AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
     /// Reads the reports of earlier holders, and the counts that seed nodes have received.
-    async fn begin(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
+    async fn load_progress(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
         let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
         parts.counting.fetch_copies().await;
-        let mut fixed: Vec<Fixed> = objects
+        let mut reports: Vec<WindowReport> = objects
             .iter()
             .filter_map(|object| self.decode(object))
             .collect();
-        fixed.sort_by_key(|fixed| fixed.window);
+        reports.sort_by_key(|report| report.window);
         let now = parts.counting.true_time();
-        let first = match fixed.last() {
+        let first = match reports.last() {
             Some(last) => last.window.next(),
-            None => self.first_ever(usage),
+            None => self.initial_window(usage),
         };
         let too_late = now.saturating_sub(usage.due_after() + usage.window());
-        let oldest = fixed.first().map_or(first, |fixed| fixed.window);
+        let oldest = reports.first().map_or(first, |report| report.window);
         // An earlier holder may have died before it sent the newest ones.
-        fixed.retain(|fixed| fixed.window.end(usage.window()) > too_late);
+        reports.retain(|report| report.window.end(usage.window()) > too_late);
         Ok(Progress {
-            next: first.max(Window::of(too_late, usage.window())),
-            unsent: fixed,
-            oldest,
-            gathered: parts.clock.now() + GATHER,
+            next_window: first.max(Window::of(too_late, usage.window())),
+            unsent: reports,
+            oldest_window: oldest,
+            collect_until: parts.clock.now() + COLLECTION_TIME,
         })
     }
 
     /// The first window to report if none was ever reported.
-    fn first_ever(&self, usage: &UsageSettings) -> Window {
+    fn initial_window(&self, usage: &UsageSettings) -> Window {
         let counting = &self.parts.counting;
         let counted = counting.with_collected(|collected| collected.first());
         let started = Window::of(self.started, usage.window());
         counted.map_or(started, |counted| counted.min(started))
     }
 
-    async fn go_on(
+    async fn report_due_windows(
         &self,
         progress: &mut Progress,
         usage: &UsageSettings,
     ) -> Result<(), StoreError> {
         while self.is_due(progress, usage) {
-            let fixed = self.fix(progress.next).await?;
-            self.parts.counting.note_reported(progress.next);
-            progress.next = progress.next.next();
-            progress.unsent.push(fixed);
+            let report = self.store_report(progress.next_window).await?;
+            self.parts.counting.note_reported(progress.next_window);
+            progress.next_window = progress.next_window.next();
+            progress.unsent.push(report);
         }
         while let Some(first) = progress.unsent.first() {
             if !self.send(first, usage).await {
@@ -199,44 +202,44 @@
             }
             progress.unsent.remove(0);
         }
-        while progress.oldest.0 + REPORTS_KEPT < progress.next.0 {
-            let name = name_of(progress.oldest);
+        while progress.oldest_window.0 + MAX_STORED_REPORTS < progress.next_window.0 {
+            let name = report_name(progress.oldest_window);
             self.parts
                 .store
                 .remove(ObjectKind::UsageReports, &name)
                 .await?;
-            progress.oldest = progress.oldest.next();
+            progress.oldest_window = progress.oldest_window.next();
         }
         Ok(())
     }
 
     fn is_due(&self, progress: &Progress, usage: &UsageSettings) -> bool {
-        let settle = usage.due_after().mul_f64(SETTLE_PART);
-        let fix_at = progress.next.end(usage.window()) + settle;
+        let settle = usage.due_after().mul_f64(SETTLE_FRACTION);
+        let final_at = progress.next_window.end(usage.window()) + settle;
         let parts = &self.parts;
-        parts.clock.now() >= progress.gathered && parts.counting.true_time() >= fix_at
+        parts.clock.now() >= progress.collect_until && parts.counting.true_time() >= final_at
     }
 
     /// Writes the report of a window to the store; if an earlier holder has written one, returns
     /// that.
-    async fn fix(&self, window: Window) -> Result<Fixed, StoreError> {
+    async fn store_report(&self, window: Window) -> Result<WindowReport, StoreError> {
         let store = &self.parts.store;
         let counts = self
             .parts
             .counting
             .with_collected(|collected| collected.sum(window));
-        let fixed = Fixed {
+        let report = WindowReport {
             write: store.write_id(),
             window,
             counts,
         };
-        let (kind, name) = (ObjectKind::UsageReports, name_of(window));
-        let until = self.parts.clock.now() + FIX_FOR;
+        let (kind, name) = (ObjectKind::UsageReports, report_name(window));
+        let until = self.parts.clock.now() + STORE_WRITE_TIMEOUT;
         match store
-            .create(kind, &name, &fixed, &fixed.write, until)
+            .create(kind, &name, &report, &report.write, until)
             .await?
         {
-            CreateOutcome::Created => Ok(fixed),
+            CreateOutcome::Created => Ok(report),
             CreateOutcome::AlreadyExists => {
                 let object = store.read(kind, &name).await?.ok_or(StoreError::Missing)?;
                 self.decode(&object).ok_or(StoreError::Conflict)
@@ -244,24 +247,24 @@
         }
     }
 
-    fn decode(&self, object: &Object) -> Option<Fixed> {
-        let fixed = serde_json::from_str(object.value.get());
-        if let Err(error) = &fixed {
+    fn decode(&self, object: &Object) -> Option<WindowReport> {
+        let report = serde_json::from_str(object.value.get());
+        if let Err(error) = &report {
             let store = &self.parts.store;
             store.log_unreadable(ObjectKind::UsageReports, &object.name, error);
         }
-        fixed.ok()
+        report.ok()
     }
 
     /// Sends a report and returns whether the platform has taken it.
-    async fn send(&self, fixed: &Fixed, usage: &UsageSettings) -> bool {
+    async fn send(&self, window_report: &WindowReport, usage: &UsageSettings) -> bool {
         let parts = &self.parts;
         let Some(epoch) = parts.holder.verified_epoch().await else {
             return false;
         };
         let report = UsageReport {
-            window: fixed.window,
-            counts: &fixed.counts,
+            window: window_report.window,
+            counts: &window_report.counts,
             holder: parts.holder.name(),
             epoch,
         };
@@ -276,19 +279,29 @@
         let taken = answer
             .as_ref()
             .is_ok_and(|answer| parts.dialect.duty_answer(answer.status()) == DutyAnswer::Done);
-        self.note_sent(fixed, epoch, taken, usage);
+        self.log_sent(window_report, epoch, taken, usage);
         if !taken {
-            tokio::time::sleep(SEND_AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         taken
     }
 
-    fn note_sent(&self, fixed: &Fixed, epoch: u64, taken: bool, usage: &UsageSettings) {
+    fn log_sent(
+        &self,
+        window_report: &WindowReport,
+        epoch: u64,
+        taken: bool,
+        usage: &UsageSettings,
+    ) {
         let now = self.parts.counting.true_time();
-        let late = now.saturating_sub(fixed.window.end(usage.window()));
-        let requests: u64 = fixed.counts.iter().map(|count| count.requests).sum();
+        let delay = now.saturating_sub(window_report.window.end(usage.window()));
+        let requests: u64 = window_report
+            .counts
+            .iter()
+            .map(|count| count.requests)
+            .sum();
         let journal = &self.parts.journal;
-        journal.count(match (taken, late > usage.due_after()) {
+        journal.count(match (taken, delay > usage.due_after()) {
             (false, _) => "usage.not_taken",
             (true, false) => "usage.reported",
             (true, true) => "usage.reported_late",
@@ -296,11 +309,11 @@
         journal.event(
             "usage_sent",
             &[
-                ("window", &fixed.window.0),
-                ("accounts", &fixed.counts.len()),
+                ("window", &window_report.window.0),
+                ("accounts", &window_report.counts.len()),
                 ("requests", &requests),
                 ("epoch", &epoch),
-                ("after_ms", &late.as_millis()),
+                ("after_ms", &delay.as_millis()),
                 ("taken", &taken),
             ],
         );
@@ -308,6 +321,6 @@
 }
 
 /// Name of a window's report in the store. Names sort like the numbers of windows.
-fn name_of(window: Window) -> String {
+fn report_name(window: Window) -> String {
     format!("{:012}", window.0)
 }
--- a/crates/node/src/usage/tally.rs
+++ b/crates/node/src/usage/tally.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Number of windows that are kept; older ones can no longer be reported.
-const WINDOWS_KEPT: usize = 64;
+const MAX_WINDOWS: usize = 64;
 
 /// Number of a window: number of windows of the same length between 1970 and its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -60,18 +60,18 @@
 impl Tally {
     /// Counts a request of an account.
     pub fn count(&mut self, window: Window, account: &str) {
-        let counts = self.of_mut(window);
-        *requests_of(counts, account) += 1;
-        let surplus = self.windows.len().saturating_sub(WINDOWS_KEPT);
-        self.windows.drain(..surplus);
+        let counts = self.counts_mut(window);
+        *requests_mut(counts, account) += 1;
+        let excess = self.windows.len().saturating_sub(MAX_WINDOWS);
+        self.windows.drain(..excess);
     }
 
     /// Merges another state of the same counts, which may be older than this one.
     pub fn take_later(&mut self, later: &Self) {
-        for held in &later.windows {
-            let counts = self.of_mut(held.window);
-            for count in &held.counts {
-                let requests = requests_of(counts, &count.account);
+        for counted in &later.windows {
+            let counts = self.counts_mut(counted.window);
+            for count in &counted.counts {
+                let requests = requests_mut(counts, &count.account);
                 *requests = count.requests.max(*requests);
             }
         }
@@ -81,30 +81,30 @@
     pub fn add_to(&self, window: Window, sum: &mut Vec<AccountCount>) {
         let found = self
             .windows
-            .binary_search_by_key(&window, |held| held.window);
+            .binary_search_by_key(&window, |counted| counted.window);
         let Ok(at) = found else {
             return;
         };
         for count in &self.windows[at].counts {
-            *requests_of(sum, &count.account) += count.requests;
+            *requests_mut(sum, &count.account) += count.requests;
         }
     }
 
     /// Removes the windows up to and including this one.
     pub fn forget_through(&mut self, window: Window) {
-        self.windows.retain(|held| held.window > window);
+        self.windows.retain(|counted| counted.window > window);
     }
 
     /// The first window with a count; `None` if there is none.
     #[must_use]
     pub fn first(&self) -> Option<Window> {
-        self.windows.first().map(|held| held.window)
+        self.windows.first().map(|counted| counted.window)
     }
 
-    fn of_mut(&mut self, window: Window) -> &mut Vec<AccountCount> {
+    fn counts_mut(&mut self, window: Window) -> &mut Vec<AccountCount> {
         let found = self
             .windows
-            .binary_search_by_key(&window, |held| held.window);
+            .binary_search_by_key(&window, |counted| counted.window);
         let at = found.unwrap_or_else(|at| {
             let counts = Vec::new();
             self.windows.insert(at, WindowCounts { window, counts });
@@ -114,8 +114,8 @@
     }
 }
 
-fn requests_of<'a>(counts: &'a mut Vec<AccountCount>, account: &str) -> &'a mut u64 {
-    let found = counts.binary_search_by(|held| held.account.as_str().cmp(account));
+fn requests_mut<'a>(counts: &'a mut Vec<AccountCount>, account: &str) -> &'a mut u64 {
+    let found = counts.binary_search_by(|count| count.account.as_str().cmp(account));
     let at = found.unwrap_or_else(|at| {
         let account = account.to_owned();
         counts.insert(
