--- a/crates/node/src/scaling/calls.rs
+++ b/crates/node/src/scaling/calls.rs
@@ -12,7 +12,7 @@
 use crate::scaling::scaler::Progress;
 use crate::scaling::scaler::Scaled;
 use crate::scaling::scaler::Scaler;
-use crate::scaling::scaler::places_of;
+use crate::scaling::scaler::indices_of;
 use crate::settings::ScalingSettings;
 
 /// Time-out of a call to the platform. A new holder waits 400 ms in addition to the lease, so
@@ -20,10 +20,10 @@
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Delay before upstreams are ordered again that the platform did not have.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Fraction of the allowed calls per second that orders use; the rest is for other duties.
-const CALLS_PART: f64 = 0.5;
+const CALL_RATE_FRACTION: f64 = 0.5;
 
 impl Scaler {
     /// Sends the orders of a service that are recorded but not confirmed by the platform.
@@ -33,21 +33,23 @@
         scaled: &Scaled<'_>,
         settings: &ScalingSettings,
     ) -> Result<(), StoreError> {
-        for at in places_of(progress, scaled) {
+        for index in indices_of(progress, scaled) {
             for capacity_type in CAPACITY_TYPES {
-                let unconfirmed = progress.subjects[at].line(capacity_type).unconfirmed;
+                let unconfirmed = progress.subjects[index].line(capacity_type).unconfirmed;
                 let now = self.parts.clock.now();
-                let Some(unconfirmed) = unconfirmed.filter(|held| held.from <= now) else {
+                let Some(unconfirmed) = unconfirmed.filter(|order| order.from <= now) else {
                     continue;
                 };
                 self.await_rate_limit(progress, settings).await;
-                let Some(answer) = self.send(progress, at, &unconfirmed.order, settings).await
+                let Some(answer) = self
+                    .send(progress, index, &unconfirmed.order, settings)
+                    .await
                 else {
                     return Ok(());
                 };
-                self.note_sent(progress, at, &unconfirmed.order, scaled, answer);
+                self.log_answer(progress, index, &unconfirmed.order, scaled, answer);
                 if !self
-                    .take_answer(progress, at, capacity_type, answer)
+                    .record_answer(progress, index, capacity_type, answer)
                     .await?
                 {
                     return Ok(());
@@ -59,9 +61,9 @@
 
     /// Waits until the rate limit allows another call.
     async fn await_rate_limit(&self, progress: &Progress, settings: &ScalingSettings) {
-        let apart = Duration::from_secs_f64(1.0 / (settings.calls_per_s * CALLS_PART));
+        let interval = Duration::from_secs_f64(1.0 / (settings.calls_per_s * CALL_RATE_FRACTION));
         let now = self.parts.clock.now();
-        let next = progress.last_sent.map_or(now, |sent| sent + apart);
+        let next = progress.last_sent.map_or(now, |sent| sent + interval);
         tokio::time::sleep(next.saturating_duration_since(now)).await;
     }
 
@@ -70,13 +72,13 @@
     async fn send(
         &self,
         progress: &mut Progress,
-        at: usize,
+        index: usize,
         order: &Order,
         settings: &ScalingSettings,
     ) -> Option<DutyAnswer> {
         let parts = &self.parts;
         let epoch = self.verified(progress.epoch).await?;
-        let subject = &progress.subjects[at];
+        let subject = &progress.subjects[index];
         let request = parts.dialect.scale_order(&ScaleOrder {
             service: &subject.service,
             zone: &subject.zone,
@@ -99,22 +101,24 @@
 
     /// Records the platform's answer. Returns false if this node may no longer act under the
     /// duty, in which case another node may have written the record.
-    async fn take_answer(
+    async fn record_answer(
         &self,
         progress: &mut Progress,
-        at: usize,
+        index: usize,
         capacity_type: CapacityType,
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
-        let subject = &mut progress.subjects[at];
+        let subject = &mut progress.subjects[index];
         match answer {
             DutyAnswer::Done => subject.note_done(capacity_type, now),
             DutyAnswer::Later => {
-                subject.send_again(capacity_type, now + Self::pause());
+                subject.send_again(capacity_type, now + Self::retry_delay());
                 return Ok(true);
             }
-            DutyAnswer::Unavailable => subject.note_unavailable(capacity_type, now + ASK_AGAIN),
+            DutyAnswer::Unavailable => {
+                subject.note_unavailable(capacity_type, now + UNAVAILABLE_RETRY_DELAY)
+            }
         }
         // Without this write a successor would repeat an order that was already answered.
         let Some(epoch) = self.verified(progress.epoch).await else {
@@ -124,15 +128,15 @@
         Ok(true)
     }
 
-    fn note_sent(
+    fn log_answer(
         &self,
         progress: &Progress,
-        at: usize,
+        index: usize,
         order: &Order,
         scaled: &Scaled<'_>,
         answer: DutyAnswer,
     ) {
-        let subject = &progress.subjects[at];
+        let subject = &progress.subjects[index];
         let journal = &self.parts.journal;
         journal.count(match answer {
             DutyAnswer::Done => "scale.ordered",
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -10,10 +10,12 @@
 #[must_use]
 pub fn demand_of(fleet: &Fleet, service: &str) -> Option<Demand> {
     let (upstreams, named) = (fleet.upstreams(), fleet.latest_versions());
-    let of_service = upstreams.iter().filter(|held| held.service == service);
+    let of_service = upstreams
+        .iter()
+        .filter(|upstream| upstream.service == service);
     let mut models: Vec<&str> = of_service
         .flat_map(|upstream| &upstream.models)
-        .map(|held| held.model.as_str())
+        .map(|weights| weights.model.as_str())
         .collect();
     models.sort_unstable();
     models.dedup();
@@ -29,7 +31,7 @@
                 demand.largest_step = demand.largest_step.max(samples);
             }
             // No trainer uses a model without a named version.
-            None => demand.is_complete &= !named.iter().any(|held| held.model == model),
+            None => demand.is_complete &= !named.iter().any(|version| version.model == model),
         }
     }
     (demand.samples > 0).then_some(demand)
@@ -42,6 +44,8 @@
         return service.slots;
     }
     let upstreams = fleet.upstreams();
-    let of_service = upstreams.iter().filter(|held| held.service == service.name);
-    of_service.map(|held| held.slots).min().unwrap_or(1)
+    let of_service = upstreams
+        .iter()
+        .filter(|upstream| upstream.service == service.name);
+    of_service.map(|upstream| upstream.slots).min().unwrap_or(1)
 }
--- a/crates/node/src/scaling/drain.rs
+++ b/crates/node/src/scaling/drain.rs
@@ -22,6 +22,6 @@
     };
     let leaving = upstreams
         .iter()
-        .filter(|held| held.leaving && is_scaled(&held.service));
+        .filter(|upstream| upstream.leaving && is_scaled(&upstream.service));
     leaving.map(Arc::clone).collect()
 }
--- a/crates/node/src/scaling/inquiry.rs
+++ b/crates/node/src/scaling/inquiry.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 /// Shortest time between two inquiries, for services with a shorter boot time.
-const LEAST_APART: Duration = Duration::from_secs(1);
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// When upstreams were last asked, by service.
 #[derive(Debug, Default)]
@@ -21,18 +21,18 @@
     /// is their boot time.
     #[must_use]
     pub fn take(&mut self, service: &str, now: Instant, boot: Duration) -> bool {
-        let apart = boot.max(LEAST_APART);
+        let interval = boot.max(MIN_INTERVAL);
         match self
             .asked
-            .binary_search_by(|(held, _)| held.as_str().cmp(service))
+            .binary_search_by(|(asked, _)| asked.as_str().cmp(service))
         {
-            Ok(at) if now.duration_since(self.asked[at].1) < apart => false,
-            Ok(at) => {
-                self.asked[at].1 = now;
+            Ok(index) if now.duration_since(self.asked[index].1) < interval => false,
+            Ok(index) => {
+                self.asked[index].1 = now;
                 true
             }
-            Err(at) => {
-                self.asked.insert(at, (service.to_owned(), now));
+            Err(index) => {
+                self.asked.insert(index, (service.to_owned(), now));
                 true
             }
         }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -39,15 +39,15 @@
 use crate::store::Store;
 
 /// Time between two rounds in which the holder checks whether orders are due.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two checks whether this node has the duty. It is longer than `LOOK_EVERY`
+/// Time between two checks whether this node has the duty. It is longer than `CHECK_INTERVAL`
 /// because each check wakes up every VM of the fleet.
-const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Minimum delay before an order that was not taken is sent again; jitter of up to the same
 /// time is added.
-const SEND_AGAIN: Duration = Duration::from_millis(500);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Time-out of a report; an upstream answers within milliseconds.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
@@ -110,29 +110,29 @@
     /// Never returns; orders whenever this node holds the duty.
     pub async fn run(self) {
         let mut progress: Option<Progress> = None;
-        let mut pause = LOOK_EVERY;
+        let mut pause = CHECK_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
             let held = self.parts.holder.held_duty();
             let (Some(scaling), Some(held)) = (settings.scaling(), held) else {
                 progress = None;
-                pause = IDLE_LOOK_EVERY;
+                pause = IDLE_CHECK_INTERVAL;
                 continue;
             };
-            pause = LOOK_EVERY;
+            pause = CHECK_INTERVAL;
             // A new holder may not have the complete list of upstreams yet.
             if !self.parts.fleet.knows_all_upstreams() {
                 continue;
             }
             let known = progress.take().filter(|known| known.epoch == held.epoch);
             match self.run_round(known, scaling).await {
-                Ok(reached) => progress = reached,
+                Ok(next) => progress = next,
                 Err(error) => {
                     self.parts
                         .journal
                         .event("scale_records_unavailable", &[("cause", &error)]);
-                    tokio::time::sleep(Self::pause()).await;
+                    tokio::time::sleep(Self::retry_delay()).await;
                 }
             }
         }
@@ -228,8 +228,8 @@
         progress: &mut Progress,
         scaled: &Scaled<'_>,
     ) -> Result<(), StoreError> {
-        let places = places_of(progress, scaled);
-        let mut zones = self.views(progress, scaled, &places);
+        let indices = indices_of(progress, scaled);
+        let mut zones = self.zone_states(progress, scaled, &indices);
         let bounds = self.bounds(scaled.service, scaled.limits);
         let mut due = orders(&zones, &bounds, scaled.demand);
         if due.iter().any(|order| order.count < order.before) {
@@ -240,12 +240,11 @@
             {
                 return Ok(());
             }
-            self.ask_for_requests(scaled, &mut zones, bounds.slots)
-                .await;
+            self.query_requests(scaled, &mut zones, bounds.slots).await;
             due = orders(&zones, &bounds, scaled.demand);
         }
         for order in due {
-            let subject = &mut progress.subjects[places[order.zone]];
+            let subject = &mut progress.subjects[indices[order.zone]];
             // An unconfirmed order of the same capacity type has to be answered first.
             if subject.line(order.capacity_type).unconfirmed.is_some() {
                 continue;
@@ -260,14 +259,19 @@
         Ok(())
     }
 
-    fn views(&self, progress: &Progress, scaled: &Scaled<'_>, places: &[usize]) -> Vec<Zone> {
+    fn zone_states(
+        &self,
+        progress: &Progress,
+        scaled: &Scaled<'_>,
+        indices: &[usize],
+    ) -> Vec<Zone> {
         let now = self.parts.clock.now();
         let prices = &scaled.limits.zone_prices;
-        let views = places.iter().zip(prices).map(|(place, price)| {
+        let states = indices.iter().zip(prices).map(|(index, price)| {
             let listed = self.listed(&scaled.service.name, &price.zone);
-            progress.subjects[*place].view(listed, price.price, now, scaled.limits.boot_time)
+            progress.subjects[*index].view(listed, price.price, now, scaled.limits.boot_time)
         });
-        views.collect()
+        states.collect()
     }
 
     /// Number of upstreams of a service in a zone, without those that are leaving.
@@ -282,17 +286,17 @@
     }
 
     /// Asks upstreams for the number of their requests and adds it to their zones.
-    async fn ask_for_requests(&self, scaled: &Scaled<'_>, zones: &mut [Zone], slots: u32) {
+    async fn query_requests(&self, scaled: &Scaled<'_>, zones: &mut [Zone], slots: u32) {
         let upstreams = self.parts.fleet.upstreams();
         let of_service = upstreams
             .iter()
             .filter(|upstream| upstream.service == scaled.service.name && !upstream.leaving);
-        let asked = of_service
+        let reports = of_service
             .map(|upstream| async move { (&upstream.zone, self.requests_at(upstream).await) });
-        for (zone, requests) in join_all(asked).await {
+        for (zone, requests) in join_all(reports).await {
             let mut prices = scaled.limits.zone_prices.iter();
-            if let Some(at) = prices.position(|price| price.zone == *zone) {
-                zones[at].record_requests(requests, slots);
+            if let Some(index) = prices.position(|price| price.zone == *zone) {
+                zones[index].record_requests(requests, slots);
             }
         }
     }
@@ -314,28 +318,28 @@
         verified.filter(|verified| *verified == epoch)
     }
 
-    pub(super) fn pause() -> Duration {
-        SEND_AGAIN.mul_f64(1.0 + rand::rng().random_range(0.0..1.0))
+    pub(super) fn retry_delay() -> Duration {
+        MIN_RETRY_DELAY.mul_f64(1.0 + rand::rng().random_range(0.0..1.0))
     }
 }
 
 /// Indices of the orders of a service's zones, in the order of `zone_prices`. Adds missing ones.
-pub(super) fn places_of(progress: &mut Progress, scaled: &Scaled<'_>) -> Vec<usize> {
+pub(super) fn indices_of(progress: &mut Progress, scaled: &Scaled<'_>) -> Vec<usize> {
     let service = scaled.service.name.as_str();
     let zones = scaled.limits.zone_prices.iter();
     let find = |subjects: &[Subject], zone: &str| {
-        subjects.binary_search_by(|held| {
-            (held.service.as_str(), held.zone.as_str()).cmp(&(service, zone))
+        subjects.binary_search_by(|subject| {
+            (subject.service.as_str(), subject.zone.as_str()).cmp(&(service, zone))
         })
     };
     for price in zones.clone() {
-        if let Err(at) = find(&progress.subjects, &price.zone) {
+        if let Err(index) = find(&progress.subjects, &price.zone) {
             let subject = Subject::new(service, &price.zone);
-            progress.subjects.insert(at, subject);
+            progress.subjects.insert(index, subject);
         }
     }
-    let places = zones.filter_map(|price| find(&progress.subjects, &price.zone).ok());
-    places.collect()
+    let indices = zones.filter_map(|price| find(&progress.subjects, &price.zone).ok());
+    indices.collect()
 }
 
 const fn capacity_type_of(upstream: &Upstream) -> CapacityType {
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/subject.rs
@@ -168,7 +168,7 @@
     pub fn note_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
         let line = self.line_mut(capacity_type);
         let unconfirmed = line.unconfirmed.take();
-        line.ordered = unconfirmed.and_then(|held| held.previous);
+        line.ordered = unconfirmed.and_then(|order| order.previous);
         line.unavailable_until = Some(until);
     }
 
@@ -182,7 +182,7 @@
     /// The zone as input for decisions. `boot` is the boot time of an upstream.
     #[must_use]
     pub fn view(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
-        let is_out = |capacity_type| {
+        let is_unavailable = |capacity_type| {
             let until = self.line(capacity_type).unavailable_until;
             until.is_some_and(|until| now < until)
         };
@@ -196,15 +196,15 @@
         let mut ordered = self.lines.iter().filter_map(|line| line.ordered);
         let mut unconfirmed = self.lines.iter().filter_map(|line| line.unconfirmed);
         // Until the platform confirms a reduction, all upstreams of that type may still exist.
-        let is_reducing = unconfirmed.any(|held| held.order.count < held.order.before);
+        let is_reducing = unconfirmed.any(|pending| pending.order.count < pending.order.before);
         let is_unconfirmed = self.lines.iter().any(|line| line.unconfirmed.is_some());
         Zone {
             price,
             listed,
             present,
-            on_demand_unavailable: is_reducing || is_out(CapacityType::OnDemand),
-            spot_unavailable: is_reducing || is_out(CapacityType::Spot),
-            is_settling: is_unconfirmed || ordered.any(|held| held.is_settling(now, boot)),
+            on_demand_unavailable: is_reducing || is_unavailable(CapacityType::OnDemand),
+            spot_unavailable: is_reducing || is_unavailable(CapacityType::Spot),
+            is_settling: is_unconfirmed || ordered.any(|order| order.is_settling(now, boot)),
             running_requests: 0,
         }
     }
@@ -232,8 +232,8 @@
         let (kind, name) = (ObjectKind::ScaleOrders, self.name());
         self.revision = Some(match self.revision {
             Some(revision) => {
-                let replacing = store.replace(kind, &name, revision, &record, &record.write);
-                replacing.await?.revision
+                let replaced = store.replace(kind, &name, revision, &record, &record.write);
+                replaced.await?.revision
             }
             None => store.create_once(kind, &name, &record).await?,
         });
