--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -31,10 +31,10 @@
 use crate::reload::CurrentSettings;
 use crate::scaling::demand::demand_of;
 use crate::scaling::demand::slots_of;
-use crate::scaling::inquiry::Inquiries;
-use crate::scaling::subject::Record;
-use crate::scaling::subject::Subject;
-use crate::scaling::subject::read_records;
+use crate::scaling::report_limiter::Inquiries;
+use crate::scaling::zone_orders::Record;
+use crate::scaling::zone_orders::Subject;
+use crate::scaling::zone_orders::read_records;
 use crate::settings::ScalingSettings;
 use crate::store::Store;
 
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_node::scaling::inquiry::Inquiries;
-use firweir_node::scaling::subject::Record;
-use firweir_node::scaling::subject::Subject;
+use firweir_node::scaling::report_limiter::Inquiries;
+use firweir_node::scaling::zone_orders::Record;
+use firweir_node::scaling::zone_orders::Subject;
 use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
