--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -32,8 +32,8 @@
 use crate::scaling::demand::demand_of;
 use crate::scaling::demand::slots_of;
 use crate::scaling::report_limiter::Inquiries;
-use crate::scaling::zone_orders::Record;
-use crate::scaling::zone_orders::Subject;
+use crate::scaling::zone_orders::ZoneOrders;
+use crate::scaling::zone_orders::ZoneOrdersRecord;
 use crate::scaling::zone_orders::read_records;
 use crate::settings::ScalingSettings;
 use crate::store::Store;
@@ -85,7 +85,7 @@
     /// The epoch under which it orders.
     pub(super) epoch: u64,
     /// Orders by service and zone, in this order.
-    pub(super) subjects: Vec<Subject>,
+    pub(super) all_orders: Vec<ZoneOrders>,
     /// When the last order was sent; `None` before the first one.
     pub(super) last_sent: Option<Instant>,
     /// When upstreams were last asked for the number of their requests.
@@ -179,37 +179,37 @@
             return Ok(None);
         };
         let (objects, _) = list(&parts.store, ObjectKind::ScaleOrders, Freshness::Newest).await?;
-        let mut subjects = Vec::new();
-        for (mut subject, record) in read_records(&objects, &parts.store) {
+        let mut all_orders = Vec::new();
+        for (mut zone_orders, record) in read_records(&objects, &parts.store) {
             // Another node holds the duty, and this one has not learnt of it yet.
-            if subject.is_newer_than(epoch) {
+            if zone_orders.is_newer_than(epoch) {
                 return Ok(None);
             }
-            self.take_over(&mut subject, &record);
-            subjects.push(subject);
+            self.take_over(&mut zone_orders, &record);
+            all_orders.push(zone_orders);
         }
         Ok(Some(Progress {
             epoch,
-            subjects,
+            all_orders,
             last_sent: None,
             inquiries: Inquiries::default(),
         }))
     }
 
     /// Takes over the last orders of a service in a zone, within its current limits.
-    fn take_over(&self, subject: &mut Subject, record: &Record) {
+    fn take_over(&self, zone_orders: &mut ZoneOrders, record: &ZoneOrdersRecord) {
         let (config, now) = (self.parts.fleet.config(), self.parts.clock.now());
-        let Some(service) = config.service(&subject.service) else {
+        let Some(service) = config.service(&zone_orders.service) else {
             return;
         };
         let Some(limits) = &service.scaling else {
             return;
         };
-        let listed = self.listed(&subject.service, &subject.zone);
+        let listed = self.listed(&zone_orders.service, &zone_orders.zone);
         let last = record.last_orders();
-        subject.take_over(max_present(&last, listed), listed, now);
+        zone_orders.take_over(max_present(&last, listed), listed, now);
         for order in orders_to_repeat(0, &last, listed, &self.bounds(service, limits)) {
-            subject.order(order, listed.of(order.capacity_type), now);
+            zone_orders.place_order(order, listed.of(order.capacity_type), now);
         }
     }
 
@@ -244,17 +244,21 @@
             due = orders(&zones, &bounds, scaled.demand);
         }
         for order in due {
-            let subject = &mut progress.subjects[indices[order.zone]];
+            let zone_orders = &mut progress.all_orders[indices[order.zone]];
             // An unconfirmed order of the same capacity type has to be answered first.
-            if subject.line(order.capacity_type).unconfirmed.is_some() {
+            if zone_orders
+                .orders_of(order.capacity_type)
+                .unconfirmed
+                .is_some()
+            {
                 continue;
             }
             let Some(epoch) = self.verified(progress.epoch).await else {
                 return Ok(());
             };
             let listed = zones[order.zone].listed.of(order.capacity_type);
-            subject.order(order, listed, self.parts.clock.now());
-            subject.write(&self.parts.store, epoch).await?;
+            zone_orders.place_order(order, listed, self.parts.clock.now());
+            zone_orders.write(&self.parts.store, epoch).await?;
         }
         Ok(())
     }
@@ -269,7 +273,12 @@
         let prices = &scaled.limits.zone_prices;
         let states = indices.iter().zip(prices).map(|(index, price)| {
             let listed = self.listed(&scaled.service.name, &price.zone);
-            progress.subjects[*index].view(listed, price.price, now, scaled.limits.boot_time)
+            progress.all_orders[*index].zone_state(
+                listed,
+                price.price,
+                now,
+                scaled.limits.boot_time,
+            )
         });
         states.collect()
     }
@@ -327,18 +336,18 @@
 pub(super) fn indices_of(progress: &mut Progress, scaled: &Scaled<'_>) -> Vec<usize> {
     let service = scaled.service.name.as_str();
     let zones = scaled.limits.zone_prices.iter();
-    let find = |subjects: &[Subject], zone: &str| {
-        subjects.binary_search_by(|subject| {
-            (subject.service.as_str(), subject.zone.as_str()).cmp(&(service, zone))
+    let find = |all_orders: &[ZoneOrders], zone: &str| {
+        all_orders.binary_search_by(|zone_orders| {
+            (zone_orders.service.as_str(), zone_orders.zone.as_str()).cmp(&(service, zone))
         })
     };
     for price in zones.clone() {
-        if let Err(index) = find(&progress.subjects, &price.zone) {
-            let subject = Subject::new(service, &price.zone);
-            progress.subjects.insert(index, subject);
+        if let Err(index) = find(&progress.all_orders, &price.zone) {
+            let zone_orders = ZoneOrders::new(service, &price.zone);
+            progress.all_orders.insert(index, zone_orders);
         }
     }
-    let indices = zones.filter_map(|price| find(&progress.subjects, &price.zone).ok());
+    let indices = zones.filter_map(|price| find(&progress.all_orders, &price.zone).ok());
     indices.collect()
 }
 
--- a/crates/node/src/scaling/sending.rs
+++ b/crates/node/src/scaling/sending.rs
@@ -35,9 +35,11 @@
     ) -> Result<(), StoreError> {
         for index in indices_of(progress, scaled) {
             for capacity_type in CAPACITY_TYPES {
-                let unconfirmed = progress.subjects[index].line(capacity_type).unconfirmed;
+                let unconfirmed = progress.all_orders[index]
+                    .orders_of(capacity_type)
+                    .unconfirmed;
                 let now = self.parts.clock.now();
-                let Some(unconfirmed) = unconfirmed.filter(|order| order.from <= now) else {
+                let Some(unconfirmed) = unconfirmed.filter(|order| order.not_before <= now) else {
                     continue;
                 };
                 self.await_rate_limit(progress, settings).await;
@@ -78,10 +80,10 @@
     ) -> Option<DutyAnswer> {
         let parts = &self.parts;
         let epoch = self.verified(progress.epoch).await?;
-        let subject = &progress.subjects[index];
+        let zone_orders = &progress.all_orders[index];
         let request = parts.dialect.scale_order(&ScaleOrder {
-            service: &subject.service,
-            zone: &subject.zone,
+            service: &zone_orders.service,
+            zone: &zone_orders.zone,
             capacity_type: order.capacity_type,
             count: order.count,
             holder: parts.holder.name(),
@@ -109,22 +111,22 @@
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
-        let subject = &mut progress.subjects[index];
+        let zone_orders = &mut progress.all_orders[index];
         match answer {
-            DutyAnswer::Done => subject.note_done(capacity_type, now),
+            DutyAnswer::Done => zone_orders.record_done(capacity_type, now),
             DutyAnswer::Later => {
-                subject.send_again(capacity_type, now + Self::retry_delay());
+                zone_orders.schedule_retry(capacity_type, now + Self::retry_delay());
                 return Ok(true);
             }
             DutyAnswer::Unavailable => {
-                subject.note_unavailable(capacity_type, now + UNAVAILABLE_RETRY_DELAY)
+                zone_orders.record_unavailable(capacity_type, now + UNAVAILABLE_RETRY_DELAY)
             }
         }
         // Without this write a successor would repeat an order that was already answered.
         let Some(epoch) = self.verified(progress.epoch).await else {
             return Ok(false);
         };
-        subject.write(&self.parts.store, epoch).await?;
+        zone_orders.write(&self.parts.store, epoch).await?;
         Ok(true)
     }
 
@@ -136,7 +138,7 @@
         scaled: &Scaled<'_>,
         answer: DutyAnswer,
     ) {
-        let subject = &progress.subjects[index];
+        let zone_orders = &progress.all_orders[index];
         let journal = &self.parts.journal;
         journal.count(match answer {
             DutyAnswer::Done => "scale.ordered",
@@ -151,8 +153,8 @@
         journal.event(
             event,
             &[
-                ("service", &subject.service),
-                ("zone", &subject.zone),
+                ("service", &zone_orders.service),
+                ("zone", &zone_orders.zone),
                 ("kind", &format_args!("{:?}", order.capacity_type)),
                 ("number", &order.count),
                 ("before", &order.before),
--- a/crates/node/src/scaling/zone_orders.rs
+++ b/crates/node/src/scaling/zone_orders.rs
@@ -24,7 +24,7 @@
 
 /// The last orders of a service in a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ZoneOrdersRecord {
     /// Id of the write, by which a holder recognises its own write.
     write: String,
     /// The service.
@@ -47,22 +47,22 @@
 
 /// An order that the platform has not confirmed yet.
 #[derive(Debug, Clone, Copy)]
-pub struct Unconfirmed {
+pub struct UnconfirmedOrder {
     /// The order.
     pub order: Order,
     /// Earliest time at which it is sent.
-    pub from: Instant,
+    pub not_before: Instant,
     /// The order that it replaces; `None` if there was none.
     previous: Option<PlacedOrder>,
 }
 
 /// Orders of one capacity type in a zone.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Line {
+pub struct CapacityTypeOrders {
     /// The last order; `None` if the list of upstreams alone counts.
     ordered: Option<PlacedOrder>,
     /// The order that is to be sent, or sent again; `None` if all are confirmed.
-    pub unconfirmed: Option<Unconfirmed>,
+    pub unconfirmed: Option<UnconfirmedOrder>,
     /// Earliest time at which more of this type are ordered, after the platform had none; `None` if
     /// there is no limit.
     unavailable_until: Option<Instant>,
@@ -70,7 +70,7 @@
 
 /// Orders of one service in one availability zone.
 #[derive(Debug, Clone)]
-pub struct Subject {
+pub struct ZoneOrders {
     /// The service.
     pub service: String,
     /// The availability zone.
@@ -79,10 +79,10 @@
     revision: Option<u64>,
     /// Epoch of the holder that wrote the record.
     epoch: u64,
-    lines: [Line; CAPACITY_TYPES.len()],
+    by_capacity_type: [CapacityTypeOrders; CAPACITY_TYPES.len()],
 }
 
-impl Subject {
+impl ZoneOrders {
     /// A zone without any order.
     #[must_use]
     pub fn new(service: &str, zone: &str) -> Self {
@@ -91,17 +91,17 @@
             zone: zone.to_owned(),
             revision: None,
             epoch: 0,
-            lines: [Line::default(); CAPACITY_TYPES.len()],
+            by_capacity_type: [CapacityTypeOrders::default(); CAPACITY_TYPES.len()],
         }
     }
 
     /// A zone with a record of an earlier holder. Its orders count after [`Self::take_over`].
     #[must_use]
-    pub fn recorded(record: &Record, revision: u64) -> Self {
-        let mut subject = Self::new(&record.service, &record.zone);
-        subject.revision = Some(revision);
-        subject.epoch = record.epoch;
-        subject
+    pub fn from_record(record: &ZoneOrdersRecord, revision: u64) -> Self {
+        let mut zone_orders = Self::new(&record.service, &record.zone);
+        zone_orders.revision = Some(revision);
+        zone_orders.epoch = record.epoch;
+        zone_orders
     }
 
     /// Whether the record was written under a higher epoch than this one.
@@ -116,88 +116,97 @@
             let (count, listed) = (expected.of(capacity_type), listed.of(capacity_type));
             if count > listed {
                 let at = now;
-                self.line_mut(capacity_type).ordered = Some(PlacedOrder { count, listed, at });
+                self.orders_of_mut(capacity_type).ordered = Some(PlacedOrder { count, listed, at });
             }
         }
     }
 
     /// Orders of a capacity type.
     #[must_use]
-    pub const fn line(&self, capacity_type: CapacityType) -> &Line {
-        &self.lines[capacity_type as usize]
+    pub const fn orders_of(&self, capacity_type: CapacityType) -> &CapacityTypeOrders {
+        &self.by_capacity_type[capacity_type as usize]
     }
 
-    const fn line_mut(&mut self, capacity_type: CapacityType) -> &mut Line {
-        &mut self.lines[capacity_type as usize]
+    const fn orders_of_mut(&mut self, capacity_type: CapacityType) -> &mut CapacityTypeOrders {
+        &mut self.by_capacity_type[capacity_type as usize]
     }
 
     /// Number last ordered of a capacity type; `None` if there is no order.
     #[must_use]
-    pub fn last(&self, capacity_type: CapacityType) -> Option<u32> {
-        self.line(capacity_type)
+    pub fn last_count(&self, capacity_type: CapacityType) -> Option<u32> {
+        self.orders_of(capacity_type)
             .ordered
             .map(|ordered| ordered.count)
     }
 
     /// Adds an order that is to be sent. `listed` is the present number of upstreams of its type.
-    pub fn order(&mut self, order: Order, listed: u32, now: Instant) {
-        let line = self.line_mut(order.capacity_type);
-        let previous = line.ordered;
-        line.ordered = Some(PlacedOrder {
+    pub fn place_order(&mut self, order: Order, listed: u32, now: Instant) {
+        let type_orders = self.orders_of_mut(order.capacity_type);
+        let previous = type_orders.ordered;
+        type_orders.ordered = Some(PlacedOrder {
             count: order.count,
             listed,
             at: now,
         });
-        line.unconfirmed = Some(Unconfirmed {
+        type_orders.unconfirmed = Some(UnconfirmedOrder {
             order,
-            from: now,
+            not_before: now,
             previous,
         });
     }
 
     /// Records that the platform has carried out an order.
-    pub fn note_done(&mut self, capacity_type: CapacityType, now: Instant) {
-        let line = self.line_mut(capacity_type);
-        line.unconfirmed = None;
-        if let Some(ordered) = &mut line.ordered {
+    pub fn record_done(&mut self, capacity_type: CapacityType, now: Instant) {
+        let type_orders = self.orders_of_mut(capacity_type);
+        type_orders.unconfirmed = None;
+        if let Some(ordered) = &mut type_orders.ordered {
             ordered.at = now;
         }
     }
 
     /// Records that the platform has no more of a type, and that none are ordered before `until`.
-    pub fn note_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
-        let line = self.line_mut(capacity_type);
-        let unconfirmed = line.unconfirmed.take();
-        line.ordered = unconfirmed.and_then(|order| order.previous);
-        line.unavailable_until = Some(until);
+    pub fn record_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
+        let type_orders = self.orders_of_mut(capacity_type);
+        let unconfirmed = type_orders.unconfirmed.take();
+        type_orders.ordered = unconfirmed.and_then(|order| order.previous);
+        type_orders.unavailable_until = Some(until);
     }
 
     /// Schedules a retry of an order that got no answer or could not be carried out.
-    pub fn send_again(&mut self, capacity_type: CapacityType, from: Instant) {
-        if let Some(unconfirmed) = &mut self.line_mut(capacity_type).unconfirmed {
-            unconfirmed.from = from;
+    pub fn schedule_retry(&mut self, capacity_type: CapacityType, not_before: Instant) {
+        if let Some(unconfirmed) = &mut self.orders_of_mut(capacity_type).unconfirmed {
+            unconfirmed.not_before = not_before;
         }
     }
 
     /// The zone as input for decisions. `boot` is the boot time of an upstream.
     #[must_use]
-    pub fn view(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
+    pub fn zone_state(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
         let is_unavailable = |capacity_type| {
-            let until = self.line(capacity_type).unavailable_until;
+            let until = self.orders_of(capacity_type).unavailable_until;
             until.is_some_and(|until| now < until)
         };
         let mut present = listed;
         for capacity_type in CAPACITY_TYPES {
-            if let Some(ordered) = self.line(capacity_type).ordered {
+            if let Some(ordered) = self.orders_of(capacity_type).ordered {
                 *present.of_mut(capacity_type) =
                     ordered.present(listed.of(capacity_type), now, boot);
             }
         }
-        let mut ordered = self.lines.iter().filter_map(|line| line.ordered);
-        let mut unconfirmed = self.lines.iter().filter_map(|line| line.unconfirmed);
+        let mut ordered = self
+            .by_capacity_type
+            .iter()
+            .filter_map(|type_orders| type_orders.ordered);
+        let mut unconfirmed = self
+            .by_capacity_type
+            .iter()
+            .filter_map(|type_orders| type_orders.unconfirmed);
         // Until the platform confirms a reduction, all upstreams of that type may still exist.
         let is_reducing = unconfirmed.any(|pending| pending.order.count < pending.order.before);
-        let is_unconfirmed = self.lines.iter().any(|line| line.unconfirmed.is_some());
+        let is_unconfirmed = self
+            .by_capacity_type
+            .iter()
+            .any(|type_orders| type_orders.unconfirmed.is_some());
         Zone {
             price,
             listed,
@@ -218,14 +227,14 @@
         if self.is_newer_than(epoch) {
             return Err(StoreError::Conflict);
         }
-        let is_unconfirmed = |capacity_type| self.line(capacity_type).unconfirmed.is_some();
-        let record = Record {
+        let is_unconfirmed = |capacity_type| self.orders_of(capacity_type).unconfirmed.is_some();
+        let record = ZoneOrdersRecord {
             write: store.write_id(),
             service: self.service.clone(),
             zone: self.zone.clone(),
             epoch,
-            on_demand: self.last(CapacityType::OnDemand),
-            spot: self.last(CapacityType::Spot),
+            on_demand: self.last_count(CapacityType::OnDemand),
+            spot: self.last_count(CapacityType::Spot),
             on_demand_unconfirmed: is_unconfirmed(CapacityType::OnDemand),
             spot_unconfirmed: is_unconfirmed(CapacityType::Spot),
         };
@@ -246,7 +255,7 @@
     }
 }
 
-impl Record {
+impl ZoneOrdersRecord {
     /// The orders in the record.
     #[must_use]
     pub fn last_orders(&self) -> Vec<RecordedOrder> {
@@ -256,7 +265,7 @@
             self.on_demand_unconfirmed,
         );
         let spot = (CapacityType::Spot, self.spot, self.spot_unconfirmed);
-        let lines = [on_demand, spot].into_iter();
+        let recorded = [on_demand, spot].into_iter();
         let read = |(capacity_type, count, is_unconfirmed): (CapacityType, Option<u32>, bool)| {
             count.map(|count| RecordedOrder {
                 capacity_type,
@@ -264,22 +273,22 @@
                 is_confirmed: !is_unconfirmed,
             })
         };
-        lines.filter_map(read).collect()
+        recorded.filter_map(read).collect()
     }
 }
 
 /// Orders with their records, sorted by service and zone. Records that cannot be read are logged.
 #[must_use]
-pub fn read_records(objects: &[Object], store: &Store) -> Vec<(Subject, Record)> {
+pub fn read_records(objects: &[Object], store: &Store) -> Vec<(ZoneOrders, ZoneOrdersRecord)> {
     let read = |object: &Object| {
-        let record = serde_json::from_str::<Record>(object.value.get());
+        let record = serde_json::from_str::<ZoneOrdersRecord>(object.value.get());
         if let Err(error) = &record {
             store.log_unreadable(ObjectKind::ScaleOrders, &object.name, error);
         }
         let record = record.ok()?;
-        Some((Subject::recorded(&record, object.revision), record))
+        Some((ZoneOrders::from_record(&record, object.revision), record))
     };
-    let mut read: Vec<(Subject, Record)> = objects.iter().filter_map(read).collect();
+    let mut read: Vec<(ZoneOrders, ZoneOrdersRecord)> = objects.iter().filter_map(read).collect();
     read.sort_by(|(a, _), (b, _)| (&a.service, &a.zone).cmp(&(&b.service, &b.zone)));
     read
 }
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use firweir_node::scaling::report_limiter::Inquiries;
-use firweir_node::scaling::zone_orders::Record;
-use firweir_node::scaling::zone_orders::Subject;
+use firweir_node::scaling::zone_orders::ZoneOrders;
+use firweir_node::scaling::zone_orders::ZoneOrdersRecord;
 use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
@@ -20,7 +20,7 @@
     spot: 2,
 };
 
-fn record(more: &serde_json::Value) -> Record {
+fn record(more: &serde_json::Value) -> ZoneOrdersRecord {
     let mut record = json!({
         "write": "w", "service": "drafts", "zone": "z1", "epoch": 7, "on_demand": 6, "spot": 1,
     });
@@ -34,7 +34,7 @@
 #[test]
 fn nothing_grows_while_a_reduction_is_not_confirmed() {
     let now = Instant::now();
-    let mut subject = Subject::new("drafts", "z1");
+    let mut zone_orders = ZoneOrders::new("drafts", "z1");
     let fewer = Order {
         zone: 0,
         capacity_type: CapacityType::OnDemand,
@@ -42,11 +42,11 @@
         before: 4,
         reason: Reason::TooMany,
     };
-    subject.order(fewer, 4, now);
-    let zone = subject.view(LISTED, 1.0, now, BOOT);
+    zone_orders.place_order(fewer, 4, now);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT);
     assert!(zone.on_demand_unavailable && zone.spot_unavailable);
-    subject.note_done(CapacityType::OnDemand, now);
-    let zone = subject.view(LISTED, 1.0, now, BOOT);
+    zone_orders.record_done(CapacityType::OnDemand, now);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT);
     assert!(!zone.on_demand_unavailable && !zone.spot_unavailable);
 }
 
@@ -68,20 +68,22 @@
 #[test]
 fn orders_of_a_predecessor_count_while_they_boot() {
     let (now, last) = (Instant::now(), record(&json!({})));
-    let mut subject = Subject::recorded(&last, 3);
-    subject.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
-    let present = subject.view(LISTED, 1.0, now, BOOT).present;
+    let mut zone_orders = ZoneOrders::from_record(&last, 3);
+    zone_orders.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
+    let present = zone_orders.zone_state(LISTED, 1.0, now, BOOT).present;
     assert_eq!((present.on_demand, present.spot), (6, 2));
-    let present = subject.view(LISTED, 1.0, now + BOOT * 2, BOOT).present;
+    let present = zone_orders
+        .zone_state(LISTED, 1.0, now + BOOT * 2, BOOT)
+        .present;
     assert_eq!(present, LISTED, "none came");
 }
 
 /// Guards against a holder that has lost the duty and replaces the record of a newer one.
 #[test]
 fn a_record_of_a_newer_epoch_is_recognised() {
-    let subject = Subject::recorded(&record(&json!({})), 3);
-    assert!(subject.is_newer_than(6));
-    assert!(!subject.is_newer_than(7));
+    let zone_orders = ZoneOrders::from_record(&record(&json!({})), 3);
+    assert!(zone_orders.is_newer_than(6));
+    assert!(!zone_orders.is_newer_than(7));
 }
 
 /// Guards against asking all upstreams in each round while a reduction is wanted but not
