--- a/crates/node/src/scaling/report_limiter.rs
+++ b/crates/node/src/scaling/report_limiter.rs
@@ -11,28 +11,28 @@
 
 /// When upstreams were last asked, by service.
 #[derive(Debug, Default)]
-pub struct Inquiries {
+pub struct ReportLimiter {
     /// Sorted by service.
-    asked: Vec<(String, Instant)>,
+    last_asked: Vec<(String, Instant)>,
 }
 
-impl Inquiries {
+impl ReportLimiter {
     /// Whether the upstreams of a service may be asked now. If so, records that they were. `boot`
     /// is their boot time.
     #[must_use]
-    pub fn take(&mut self, service: &str, now: Instant, boot: Duration) -> bool {
+    pub fn try_acquire(&mut self, service: &str, now: Instant, boot: Duration) -> bool {
         let interval = boot.max(MIN_INTERVAL);
         match self
-            .asked
-            .binary_search_by(|(asked, _)| asked.as_str().cmp(service))
+            .last_asked
+            .binary_search_by(|(name, _)| name.as_str().cmp(service))
         {
-            Ok(index) if now.duration_since(self.asked[index].1) < interval => false,
+            Ok(index) if now.duration_since(self.last_asked[index].1) < interval => false,
             Ok(index) => {
-                self.asked[index].1 = now;
+                self.last_asked[index].1 = now;
                 true
             }
             Err(index) => {
-                self.asked.insert(index, (service.to_owned(), now));
+                self.last_asked.insert(index, (service.to_owned(), now));
                 true
             }
         }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -31,7 +31,7 @@
 use crate::reload::CurrentSettings;
 use crate::scaling::demand::demand_of;
 use crate::scaling::demand::slots_of;
-use crate::scaling::report_limiter::Inquiries;
+use crate::scaling::report_limiter::ReportLimiter;
 use crate::scaling::zone_orders::ZoneOrders;
 use crate::scaling::zone_orders::ZoneOrdersRecord;
 use crate::scaling::zone_orders::read_records;
@@ -89,7 +89,7 @@
     /// When the last order was sent; `None` before the first one.
     pub(super) last_sent: Option<Instant>,
     /// When upstreams were last asked for the number of their requests.
-    pub(super) inquiries: Inquiries,
+    pub(super) report_limiter: ReportLimiter,
 }
 
 /// An autoscaled service.
@@ -192,7 +192,7 @@
             epoch,
             all_orders,
             last_sent: None,
-            inquiries: Inquiries::default(),
+            report_limiter: ReportLimiter::default(),
         }))
     }
 
@@ -235,8 +235,8 @@
         if due.iter().any(|order| order.count < order.before) {
             let (service, now) = (&scaled.service.name, self.parts.clock.now());
             if !progress
-                .inquiries
-                .take(service, now, scaled.limits.boot_time)
+                .report_limiter
+                .try_acquire(service, now, scaled.limits.boot_time)
             {
                 return Ok(());
             }
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_node::scaling::report_limiter::Inquiries;
+use firweir_node::scaling::report_limiter::ReportLimiter;
 use firweir_node::scaling::zone_orders::ZoneOrders;
 use firweir_node::scaling::zone_orders::ZoneOrdersRecord;
 use firweir_policy::scaling::CapacityType;
@@ -90,9 +90,12 @@
 /// possible.
 #[test]
 fn upstreams_are_asked_once_a_boot_time() {
-    let (start, mut inquiries) = (Instant::now(), Inquiries::default());
+    let (start, mut report_limiter) = (Instant::now(), ReportLimiter::default());
     let looks = (0..48).map(|look| start + Duration::from_millis(250) * look);
-    let asked = looks.filter(|now| inquiries.take("drafts", *now, BOOT));
+    let asked = looks.filter(|now| report_limiter.try_acquire("drafts", *now, BOOT));
     assert_eq!(asked.count(), 3, "in twelve seconds");
-    assert!(inquiries.take("other", start, BOOT), "each service apart");
+    assert!(
+        report_limiter.try_acquire("other", start, BOOT),
+        "each service apart"
+    );
 }
