--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -39,7 +39,7 @@
 
 /// Number of requests that an upstream of a service runs at once.
 #[must_use]
-pub fn slots_of(fleet: &Fleet, service: &Service) -> u32 {
+pub fn slots_per_upstream(fleet: &Fleet, service: &Service) -> u32 {
     if service.slots > 0 {
         return service.slots;
     }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -30,7 +30,7 @@
 use crate::model::Upstream;
 use crate::reload::CurrentSettings;
 use crate::scaling::demand::demand_of;
-use crate::scaling::demand::slots_of;
+use crate::scaling::demand::slots_per_upstream;
 use crate::scaling::report_limiter::ReportLimiter;
 use crate::scaling::zone_orders::ZoneOrders;
 use crate::scaling::zone_orders::ZoneOrdersRecord;
@@ -81,7 +81,7 @@
 
 /// State of a holder for one epoch.
 #[derive(Debug)]
-pub(super) struct Progress {
+pub(super) struct EpochState {
     /// The epoch under which it orders.
     pub(super) epoch: u64,
     /// Orders by service and zone, in this order.
@@ -94,7 +94,7 @@
 
 /// An autoscaled service.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Scaled<'a> {
+pub(super) struct ScaledService<'a> {
     pub(super) service: &'a Service,
     pub(super) limits: &'a ScalingLimits,
     pub(super) demand: Option<Demand>,
@@ -109,14 +109,14 @@
 
     /// Never returns; orders whenever this node holds the duty.
     pub async fn run(self) {
-        let mut progress: Option<Progress> = None;
+        let mut state: Option<EpochState> = None;
         let mut pause = CHECK_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
             let held = self.parts.holder.held_duty();
             let (Some(scaling), Some(held)) = (settings.scaling(), held) else {
-                progress = None;
+                state = None;
                 pause = IDLE_CHECK_INTERVAL;
                 continue;
             };
@@ -125,9 +125,9 @@
             if !self.parts.fleet.knows_all_upstreams() {
                 continue;
             }
-            let known = progress.take().filter(|known| known.epoch == held.epoch);
+            let known = state.take().filter(|known| known.epoch == held.epoch);
             match self.run_round(known, scaling).await {
-                Ok(next) => progress = next,
+                Ok(next) => state = next,
                 Err(error) => {
                     self.parts
                         .journal
@@ -142,15 +142,15 @@
     /// records again.
     async fn run_round(
         &self,
-        known: Option<Progress>,
+        known: Option<EpochState>,
         settings: &ScalingSettings,
-    ) -> Result<Option<Progress>, StoreError> {
+    ) -> Result<Option<EpochState>, StoreError> {
         let config = self.parts.fleet.config();
         let is_scaled = |service: &&Service| service.scaling.is_some();
         if !config.services.iter().any(|service| is_scaled(&service)) {
             return Ok(None);
         }
-        let Some(mut progress) = (match known {
+        let Some(mut state) = (match known {
             Some(known) => Some(known),
             None => self.load_records().await?,
         }) else {
@@ -160,20 +160,20 @@
             let Some(limits) = &service.scaling else {
                 continue;
             };
-            let scaled = Scaled {
+            let scaled = ScaledService {
                 service,
                 limits,
                 demand: demand_of(&self.parts.fleet, &service.name),
             };
-            self.record_due(&mut progress, &scaled).await?;
-            self.send_due(&mut progress, &scaled, settings).await?;
+            self.record_due(&mut state, &scaled).await?;
+            self.send_due(&mut state, &scaled, settings).await?;
         }
-        Ok(Some(progress))
+        Ok(Some(state))
     }
 
     /// Reads the last orders of earlier holders and takes them over; `None` if this node does not
     /// hold the duty or may not act under it yet.
-    async fn load_records(&self) -> Result<Option<Progress>, StoreError> {
+    async fn load_records(&self) -> Result<Option<EpochState>, StoreError> {
         let parts = &self.parts;
         let Some(epoch) = parts.holder.verified_epoch().await else {
             return Ok(None);
@@ -188,7 +188,7 @@
             self.take_over(&mut zone_orders, &record);
             all_orders.push(zone_orders);
         }
-        Ok(Some(Progress {
+        Ok(Some(EpochState {
             epoch,
             all_orders,
             last_sent: None,
@@ -217,7 +217,7 @@
         Bounds {
             min_per_zone: limits.min_per_zone,
             max_per_zone: limits.max_per_zone,
-            slots: slots_of(&self.parts.fleet, service),
+            slots: slots_per_upstream(&self.parts.fleet, service),
             spot_price_ratio: limits.spot_price_ratio,
         }
     }
@@ -225,16 +225,16 @@
     /// Decides the orders of a service that are due and writes them to the store.
     async fn record_due(
         &self,
-        progress: &mut Progress,
-        scaled: &Scaled<'_>,
+        state: &mut EpochState,
+        scaled: &ScaledService<'_>,
     ) -> Result<(), StoreError> {
-        let indices = indices_of(progress, scaled);
-        let mut zones = self.zone_states(progress, scaled, &indices);
+        let indices = indices_of(state, scaled);
+        let mut zones = self.zone_states(state, scaled, &indices);
         let bounds = self.bounds(scaled.service, scaled.limits);
         let mut due = orders(&zones, &bounds, scaled.demand);
         if due.iter().any(|order| order.count < order.before) {
             let (service, now) = (&scaled.service.name, self.parts.clock.now());
-            if !progress
+            if !state
                 .report_limiter
                 .try_acquire(service, now, scaled.limits.boot_time)
             {
@@ -244,7 +244,7 @@
             due = orders(&zones, &bounds, scaled.demand);
         }
         for order in due {
-            let zone_orders = &mut progress.all_orders[indices[order.zone]];
+            let zone_orders = &mut state.all_orders[indices[order.zone]];
             // An unconfirmed order of the same capacity type has to be answered first.
             if zone_orders
                 .orders_of(order.capacity_type)
@@ -253,7 +253,7 @@
             {
                 continue;
             }
-            let Some(epoch) = self.verified(progress.epoch).await else {
+            let Some(epoch) = self.verified(state.epoch).await else {
                 return Ok(());
             };
             let listed = zones[order.zone].listed.of(order.capacity_type);
@@ -265,20 +265,15 @@
 
     fn zone_states(
         &self,
-        progress: &Progress,
-        scaled: &Scaled<'_>,
+        state: &EpochState,
+        scaled: &ScaledService<'_>,
         indices: &[usize],
     ) -> Vec<Zone> {
         let now = self.parts.clock.now();
         let prices = &scaled.limits.zone_prices;
         let states = indices.iter().zip(prices).map(|(index, price)| {
             let listed = self.listed(&scaled.service.name, &price.zone);
-            progress.all_orders[*index].zone_state(
-                listed,
-                price.price,
-                now,
-                scaled.limits.boot_time,
-            )
+            state.all_orders[*index].zone_state(listed, price.price, now, scaled.limits.boot_time)
         });
         states.collect()
     }
@@ -295,7 +290,7 @@
     }
 
     /// Asks upstreams for the number of their requests and adds it to their zones.
-    async fn query_requests(&self, scaled: &Scaled<'_>, zones: &mut [Zone], slots: u32) {
+    async fn query_requests(&self, scaled: &ScaledService<'_>, zones: &mut [Zone], slots: u32) {
         let upstreams = self.parts.fleet.upstreams();
         let of_service = upstreams
             .iter()
@@ -333,7 +328,7 @@
 }
 
 /// Indices of the orders of a service's zones, in the order of `zone_prices`. Adds missing ones.
-pub(super) fn indices_of(progress: &mut Progress, scaled: &Scaled<'_>) -> Vec<usize> {
+pub(super) fn indices_of(state: &mut EpochState, scaled: &ScaledService<'_>) -> Vec<usize> {
     let service = scaled.service.name.as_str();
     let zones = scaled.limits.zone_prices.iter();
     let find = |all_orders: &[ZoneOrders], zone: &str| {
@@ -342,12 +337,12 @@
         })
     };
     for price in zones.clone() {
-        if let Err(index) = find(&progress.all_orders, &price.zone) {
+        if let Err(index) = find(&state.all_orders, &price.zone) {
             let zone_orders = ZoneOrders::new(service, &price.zone);
-            progress.all_orders.insert(index, zone_orders);
+            state.all_orders.insert(index, zone_orders);
         }
     }
-    let indices = zones.filter_map(|price| find(&progress.all_orders, &price.zone).ok());
+    let indices = zones.filter_map(|price| find(&state.all_orders, &price.zone).ok());
     indices.collect()
 }
 
--- a/crates/node/src/scaling/sending.rs
+++ b/crates/node/src/scaling/sending.rs
@@ -9,8 +9,8 @@
 use crate::dialect::DutyAnswer;
 use crate::dialect::ScaleOrder;
 use crate::dialect::StoreError;
-use crate::scaling::scaler::Progress;
-use crate::scaling::scaler::Scaled;
+use crate::scaling::scaler::EpochState;
+use crate::scaling::scaler::ScaledService;
 use crate::scaling::scaler::Scaler;
 use crate::scaling::scaler::indices_of;
 use crate::settings::ScalingSettings;
@@ -29,29 +29,25 @@
     /// Sends the orders of a service that are recorded but not confirmed by the platform.
     pub(super) async fn send_due(
         &self,
-        progress: &mut Progress,
-        scaled: &Scaled<'_>,
+        state: &mut EpochState,
+        scaled: &ScaledService<'_>,
         settings: &ScalingSettings,
     ) -> Result<(), StoreError> {
-        for index in indices_of(progress, scaled) {
+        for index in indices_of(state, scaled) {
             for capacity_type in CAPACITY_TYPES {
-                let unconfirmed = progress.all_orders[index]
-                    .orders_of(capacity_type)
-                    .unconfirmed;
+                let unconfirmed = state.all_orders[index].orders_of(capacity_type).unconfirmed;
                 let now = self.parts.clock.now();
                 let Some(unconfirmed) = unconfirmed.filter(|order| order.not_before <= now) else {
                     continue;
                 };
-                self.await_rate_limit(progress, settings).await;
-                let Some(answer) = self
-                    .send(progress, index, &unconfirmed.order, settings)
-                    .await
+                self.await_rate_limit(state, settings).await;
+                let Some(answer) = self.send(state, index, &unconfirmed.order, settings).await
                 else {
                     return Ok(());
                 };
-                self.log_answer(progress, index, &unconfirmed.order, scaled, answer);
+                self.log_answer(state, index, &unconfirmed.order, scaled, answer);
                 if !self
-                    .record_answer(progress, index, capacity_type, answer)
+                    .record_answer(state, index, capacity_type, answer)
                     .await?
                 {
                     return Ok(());
@@ -62,10 +58,10 @@
     }
 
     /// Waits until the rate limit allows another call.
-    async fn await_rate_limit(&self, progress: &Progress, settings: &ScalingSettings) {
+    async fn await_rate_limit(&self, state: &EpochState, settings: &ScalingSettings) {
         let interval = Duration::from_secs_f64(1.0 / (settings.calls_per_s * CALL_RATE_FRACTION));
         let now = self.parts.clock.now();
-        let next = progress.last_sent.map_or(now, |sent| sent + interval);
+        let next = state.last_sent.map_or(now, |sent| sent + interval);
         tokio::time::sleep(next.saturating_duration_since(now)).await;
     }
 
@@ -73,14 +69,14 @@
     /// the duty now.
     async fn send(
         &self,
-        progress: &mut Progress,
+        state: &mut EpochState,
         index: usize,
         order: &Order,
         settings: &ScalingSettings,
     ) -> Option<DutyAnswer> {
         let parts = &self.parts;
-        let epoch = self.verified(progress.epoch).await?;
-        let zone_orders = &progress.all_orders[index];
+        let epoch = self.verified(state.epoch).await?;
+        let zone_orders = &state.all_orders[index];
         let request = parts.dialect.scale_order(&ScaleOrder {
             service: &zone_orders.service,
             zone: &zone_orders.zone,
@@ -92,7 +88,7 @@
         if !parts.holder.may_act(epoch) {
             return None;
         }
-        progress.last_sent = Some(parts.clock.now());
+        state.last_sent = Some(parts.clock.now());
         let answer = parts
             .connections
             .call(settings.order_at, request, SEND_TIMEOUT);
@@ -105,13 +101,13 @@
     /// duty, in which case another node may have written the record.
     async fn record_answer(
         &self,
-        progress: &mut Progress,
+        state: &mut EpochState,
         index: usize,
         capacity_type: CapacityType,
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
-        let zone_orders = &mut progress.all_orders[index];
+        let zone_orders = &mut state.all_orders[index];
         match answer {
             DutyAnswer::Done => zone_orders.record_done(capacity_type, now),
             DutyAnswer::Later => {
@@ -123,7 +119,7 @@
             }
         }
         // Without this write a successor would repeat an order that was already answered.
-        let Some(epoch) = self.verified(progress.epoch).await else {
+        let Some(epoch) = self.verified(state.epoch).await else {
             return Ok(false);
         };
         zone_orders.write(&self.parts.store, epoch).await?;
@@ -132,13 +128,13 @@
 
     fn log_answer(
         &self,
-        progress: &Progress,
+        state: &EpochState,
         index: usize,
         order: &Order,
-        scaled: &Scaled<'_>,
+        scaled: &ScaledService<'_>,
         answer: DutyAnswer,
     ) {
-        let zone_orders = &progress.all_orders[index];
+        let zone_orders = &state.all_orders[index];
         let journal = &self.parts.journal;
         journal.count(match answer {
             DutyAnswer::Done => "scale.ordered",
@@ -160,7 +156,7 @@
                 ("before", &order.before),
                 ("demand", &demand),
                 ("reason", &format_args!("{:?}", order.reason)),
-                ("epoch", &progress.epoch),
+                ("epoch", &state.epoch),
                 ("answer", &format_args!("{answer:?}")),
             ],
         );
