--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -49,7 +49,7 @@
 use crate::respond::reason_of;
 use crate::respond::refusal;
 use crate::shared::Shared;
-use crate::usage::counting::Handed;
+use crate::usage::counter::Handed;
 
 /// How long a client is kept waiting that does not say how long it waits.
 const PATIENCE: Duration = Duration::from_secs(30);
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -66,8 +66,8 @@
 use crate::submission::runners::PING_PATH;
 use crate::submission::runners::account_from_header;
 use crate::submission::runners::set_account_header;
-use crate::usage::counting::Counting;
-use crate::usage::counting::USAGE_PATH;
+use crate::usage::counter::Counting;
+use crate::usage::counter::USAGE_PATH;
 
 /// Largest body of a store call that is made for another node: the store's values end
 /// at a megabyte.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,7 +14,7 @@
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
 use crate::reload::CurrentSettings;
-use crate::usage::counting::Counting;
+use crate::usage::counter::Counting;
 
 /// Cheap to clone.
 #[derive(Debug, Clone)]
--- a/crates/node/src/usage/counting.rs
+++ b/crates/node/src/usage/counter.rs
@@ -25,11 +25,11 @@
 use crate::duty::BootClock;
 use crate::holder::DutyHolder;
 use crate::reload::CurrentSettings;
-use crate::usage::collect::Collected;
-use crate::usage::collect::Told;
+use crate::usage::clock_offset::Offset;
+use crate::usage::fleet_counts::Collected;
+use crate::usage::fleet_counts::Told;
 use crate::usage::tally::Tally;
 use crate::usage::tally::Window;
-use crate::usage::time::Offset;
 
 /// Path at which a node receives counts of others and returns all that it has received.
 pub const USAGE_PATH: &str = "/peer/usage";
--- a/crates/node/src/usage/collect.rs
+++ b/crates/node/src/usage/fleet_counts.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::usage::clock_offset::Offset;
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Tally;
 use crate::usage::tally::Window;
-use crate::usage::time::Offset;
 
 /// Number of processes that are remembered: twice the maximum number of nodes.
 const MAX_PROCESSES: usize = 1_024;
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -28,7 +28,7 @@
 use crate::settings::UsageSettings;
 use crate::store::CreateOutcome;
 use crate::store::Store;
-use crate::usage::counting::Counting;
+use crate::usage::counter::Counting;
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Window;
 
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use firweir_node::usage::collect::Collected;
-use firweir_node::usage::collect::Told;
+use firweir_node::usage::clock_offset::Offset;
+use firweir_node::usage::fleet_counts::Collected;
+use firweir_node::usage::fleet_counts::Told;
 use firweir_node::usage::tally::AccountCount;
 use firweir_node::usage::tally::Tally;
 use firweir_node::usage::tally::Window;
-use firweir_node::usage::time::Offset;
 
 const LENGTH: Duration = Duration::from_secs(5);
 
