--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -257,12 +257,12 @@
     /// Takes in what another node has counted, or tells what this one was told.
     async fn usage(&self, head: &http::request::Parts, body: Incoming) -> Response<Body> {
         if head.method == Method::GET {
-            return with_json(StatusCode::OK, self.counting.copies());
+            return with_json(StatusCode::OK, self.counting.snapshot());
         }
         let Some(body) = read_body(body, USAGE_LIMIT_BYTES).await else {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
-        match self.counting.answer(&body) {
+        match self.counting.handle_counts(&body) {
             Some(answer) => with_json(StatusCode::OK, answer),
             None => empty(StatusCode::BAD_REQUEST),
         }
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -26,8 +26,8 @@
 use crate::holder::DutyHolder;
 use crate::reload::CurrentSettings;
 use crate::usage::clock_offset::Offset;
-use crate::usage::fleet_counts::Collected;
-use crate::usage::fleet_counts::Told;
+use crate::usage::fleet_counts::FleetCounts;
+use crate::usage::fleet_counts::ProcessCounts;
 use crate::usage::tally::Tally;
 use crate::usage::tally::Window;
 
@@ -68,7 +68,7 @@
     /// Offset by the clocks of all nodes; `None` until it is known.
     fleet_offset: Option<Offset>,
     /// Counts received from other nodes, and from this one while it is the holder.
-    collected: Collected,
+    fleet_counts: FleetCounts,
     /// The last reported window; `None` if none is known.
     reported_through: Option<Window>,
     /// Whether a request was counted since the counts were last sent.
@@ -139,7 +139,7 @@
             own: Tally::default(),
             own_offset,
             fleet_offset: None,
-            collected: Collected::default(),
+            fleet_counts: FleetCounts::default(),
             reported_through: None,
             has_new_counts: false,
         };
@@ -220,7 +220,7 @@
         let is_seed = settings
             .peer_listen
             .is_some_and(|own_address| settings.seeds.contains(&own_address));
-        is_seed || self.lock().own.first().is_some()
+        is_seed || self.lock().own.first_window().is_some()
     }
 
     /// Sends this node's counts to the holder, if one is known, and new ones to a seed node too.
@@ -256,9 +256,9 @@
         Ok(())
     }
 
-    fn own_counts(&self, state: &State) -> Told {
+    fn own_counts(&self, state: &State) -> ProcessCounts {
         let now = self.inner.boot_clock.since_boot();
-        Told {
+        ProcessCounts {
             process: self.inner.process.clone(),
             own_time_ms: state.own_offset.true_time(now).as_millis() as u64,
             tally: state.own.clone(),
@@ -277,7 +277,11 @@
         others.next()
     }
 
-    async fn send_to(&self, node: SocketAddr, counts: &Told) -> Result<CountsReply, CallError> {
+    async fn send_to(
+        &self,
+        node: SocketAddr,
+        counts: &ProcessCounts,
+    ) -> Result<CountsReply, CallError> {
         // Strings and numbers only, so that encoding cannot fail.
         let body = serde_json::to_vec(counts).unwrap_or_default();
         let mut request = Request::new(Full::new(Bytes::from(body)));
@@ -296,17 +300,17 @@
         let true_time = Duration::from_millis(reply.true_time_ms);
         let mut state = self.lock();
         state.fleet_offset = Some(Offset::between(true_time, now));
-        state.note_reported(reply.reported);
+        state.record_reported(reply.reported);
     }
 
     /// Merges counts that another node has sent and returns the answer; `None` if they are
     /// malformed.
-    pub fn answer(&self, body: &[u8]) -> Option<Bytes> {
-        let counts: Told = serde_json::from_slice(body).ok()?;
+    pub fn handle_counts(&self, body: &[u8]) -> Option<Bytes> {
+        let counts: ProcessCounts = serde_json::from_slice(body).ok()?;
         self.merge_counts(counts);
         let state = self.lock();
         let now = self.inner.boot_clock.since_boot();
-        let offset = state.collected.offset().unwrap_or(state.own_offset);
+        let offset = state.fleet_counts.offset().unwrap_or(state.own_offset);
         let reply = CountsReply {
             true_time_ms: offset.true_time(now).as_millis() as u64,
             reported: state.reported_through,
@@ -316,25 +320,25 @@
 
     /// All counts that this node has received, as JSON, for a new holder.
     #[must_use]
-    pub fn copies(&self) -> Bytes {
+    pub fn snapshot(&self) -> Bytes {
         let now = self.inner.boot_clock.since_boot();
-        let copies = self.lock().collected.copies(now);
+        let snapshot = self.lock().fleet_counts.snapshot(now);
         // Strings and numbers only, so that encoding cannot fail.
-        serde_json::to_vec(&copies).unwrap_or_default().into()
+        serde_json::to_vec(&snapshot).unwrap_or_default().into()
     }
 
-    fn merge_counts(&self, counts: Told) {
+    fn merge_counts(&self, counts: ProcessCounts) {
         let now = self.inner.boot_clock.since_boot();
-        self.lock().collected.take(counts, now);
+        self.lock().fleet_counts.apply(counts, now);
     }
 
     fn update_fleet_offset(&self) {
         let mut state = self.lock();
-        state.fleet_offset = state.collected.offset();
+        state.fleet_offset = state.fleet_counts.offset();
     }
 
     /// Merges the counts that seed nodes have received, for a new holder.
-    pub async fn fetch_copies(&self) {
+    pub async fn fetch_snapshots(&self) {
         let settings = self.inner.settings.now();
         let seeds = settings.seeds.iter().copied();
         for seed in seeds.filter(|seed| Some(*seed) != settings.peer_listen) {
@@ -348,8 +352,8 @@
             else {
                 continue;
             };
-            let copies: Result<Vec<Told>, _> = serde_json::from_slice(answer.body());
-            copies
+            let received: Result<Vec<ProcessCounts>, _> = serde_json::from_slice(answer.body());
+            received
                 .unwrap_or_default()
                 .into_iter()
                 .for_each(|counts| self.merge_counts(counts));
@@ -357,13 +361,13 @@
     }
 
     /// Calls `look` with the counts received from all processes.
-    pub(crate) fn with_collected<T>(&self, look: impl FnOnce(&mut Collected) -> T) -> T {
-        look(&mut self.lock().collected)
+    pub(crate) fn with_fleet_counts<T>(&self, look: impl FnOnce(&mut FleetCounts) -> T) -> T {
+        look(&mut self.lock().fleet_counts)
     }
 
     /// Records that the windows up to and including this one are reported.
-    pub(crate) fn note_reported(&self, window: Window) {
-        self.lock().note_reported(Some(window));
+    pub(crate) fn record_reported(&self, window: Window) {
+        self.lock().record_reported(Some(window));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -377,11 +381,11 @@
         self.fleet_offset.unwrap_or(self.own_offset)
     }
 
-    fn note_reported(&mut self, window: Option<Window>) {
+    fn record_reported(&mut self, window: Option<Window>) {
         if let Some(window) = window.filter(|window| Some(*window) > self.reported_through) {
             self.reported_through = Some(window);
             self.own.forget_through(window);
-            self.collected.forget_through(window);
+            self.fleet_counts.forget_through(window);
         }
     }
 }
--- a/crates/node/src/usage/fleet_counts.rs
+++ b/crates/node/src/usage/fleet_counts.rs
@@ -15,7 +15,7 @@
 
 /// All counts of one process that are not reported yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ProcessCounts {
     /// Id of the process; a restarted node has a new one, with counts of its own.
     pub process: String,
     /// True time by the process's own clock, in milliseconds since 1970.
@@ -35,14 +35,14 @@
 
 /// Counts of all processes.
 #[derive(Debug, Default)]
-pub struct Collected {
+pub struct FleetCounts {
     /// Sorted by process.
     processes: Vec<Process>,
 }
 
-impl Collected {
+impl FleetCounts {
     /// Merges the counts of a process. `now` is the time since the system's start.
-    pub fn take(&mut self, received: Told, now: Duration) {
+    pub fn apply(&mut self, received: ProcessCounts, now: Duration) {
         let own_time = Duration::from_millis(received.own_time_ms);
         let offset = Offset::between(own_time, now);
         match self
@@ -53,7 +53,7 @@
                 let process = &mut self.processes[at];
                 process.offset = offset;
                 process.received_at = now;
-                process.tally.take_later(&received.tally);
+                process.tally.merge(&received.tally);
             }
             Err(at) => {
                 let process = Process {
@@ -71,13 +71,13 @@
     /// All received counts, for a node that has become the holder. `now` is the time since the
     /// system's start.
     #[must_use]
-    pub fn copies(&self, now: Duration) -> Vec<Told> {
-        let copies = self.processes.iter().map(|process| Told {
+    pub fn snapshot(&self, now: Duration) -> Vec<ProcessCounts> {
+        let snapshot = self.processes.iter().map(|process| ProcessCounts {
             process: process.id.clone(),
             own_time_ms: process.offset.true_time(now).as_millis() as u64,
             tally: process.tally.clone(),
         });
-        copies.collect()
+        snapshot.collect()
     }
 
     /// Requests of all processes in one window, by account.
@@ -92,10 +92,10 @@
 
     /// The first window with a count; `None` if there is none.
     #[must_use]
-    pub fn first(&self) -> Option<Window> {
+    pub fn first_window(&self) -> Option<Window> {
         self.processes
             .iter()
-            .filter_map(|process| process.tally.first())
+            .filter_map(|process| process.tally.first_window())
             .min()
     }
 
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -154,7 +154,7 @@
     async fn load_progress(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
         let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
-        parts.counting.fetch_copies().await;
+        parts.counting.fetch_snapshots().await;
         let mut reports: Vec<WindowReport> = objects
             .iter()
             .filter_map(|object| self.decode(object))
@@ -180,7 +180,7 @@
     /// The first window to report if none was ever reported.
     fn initial_window(&self, usage: &UsageSettings) -> Window {
         let counting = &self.parts.counting;
-        let counted = counting.with_collected(|collected| collected.first());
+        let counted = counting.with_fleet_counts(|counts| counts.first_window());
         let started = Window::of(self.started, usage.window());
         counted.map_or(started, |counted| counted.min(started))
     }
@@ -192,7 +192,7 @@
     ) -> Result<(), StoreError> {
         while self.is_due(progress, usage) {
             let report = self.store_report(progress.next_window).await?;
-            self.parts.counting.note_reported(progress.next_window);
+            self.parts.counting.record_reported(progress.next_window);
             progress.next_window = progress.next_window.next();
             progress.unsent.push(report);
         }
@@ -227,7 +227,7 @@
         let counts = self
             .parts
             .counting
-            .with_collected(|collected| collected.sum(window));
+            .with_fleet_counts(|counts| counts.sum(window));
         let report = WindowReport {
             write: store.write_id(),
             window,
--- a/crates/node/src/usage/tally.rs
+++ b/crates/node/src/usage/tally.rs
@@ -67,8 +67,8 @@
     }
 
     /// Merges another state of the same counts, which may be older than this one.
-    pub fn take_later(&mut self, later: &Self) {
-        for counted in &later.windows {
+    pub fn merge(&mut self, other: &Self) {
+        for counted in &other.windows {
             let counts = self.counts_mut(counted.window);
             for count in &counted.counts {
                 let requests = requests_mut(counts, &count.account);
@@ -97,7 +97,7 @@
 
     /// The first window with a count; `None` if there is none.
     #[must_use]
-    pub fn first(&self) -> Option<Window> {
+    pub fn first_window(&self) -> Option<Window> {
         self.windows.first().map(|counted| counted.window)
     }
 
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use firweir_node::usage::clock_offset::Offset;
-use firweir_node::usage::fleet_counts::Collected;
-use firweir_node::usage::fleet_counts::Told;
+use firweir_node::usage::fleet_counts::FleetCounts;
+use firweir_node::usage::fleet_counts::ProcessCounts;
 use firweir_node::usage::tally::AccountCount;
 use firweir_node::usage::tally::Tally;
 use firweir_node::usage::tally::Window;
@@ -21,15 +21,15 @@
     tally
 }
 
-fn told(process: &str, own_time_ms: u64, tally: Tally) -> Told {
-    Told {
+fn told(process: &str, own_time_ms: u64, tally: Tally) -> ProcessCounts {
+    ProcessCounts {
         process: process.to_owned(),
         own_time_ms,
         tally,
     }
 }
 
-fn sums(collected: &Collected, window: u64) -> Vec<(String, u64)> {
+fn sums(collected: &FleetCounts, window: u64) -> Vec<(String, u64)> {
     let sum = collected.sum(Window(window)).into_iter();
     sum.map(|AccountCount { account, requests }| (account, requests))
         .collect()
@@ -72,14 +72,14 @@
 fn what_is_told_twice_or_late_counts_once() {
     let early = tally(&[(7, "kudu", 2)]);
     let late = tally(&[(7, "kudu", 3), (7, "oryx", 1), (8, "kudu", 1)]);
-    let mut collected = Collected::default();
+    let mut collected = FleetCounts::default();
     for state in [&early, &late, &early, &late] {
-        collected.take(told("vm-1", 0, state.clone()), Duration::ZERO);
+        collected.apply(told("vm-1", 0, state.clone()), Duration::ZERO);
     }
-    collected.take(told("vm-2", 0, tally(&[(7, "kudu", 5)])), Duration::ZERO);
+    collected.apply(told("vm-2", 0, tally(&[(7, "kudu", 5)])), Duration::ZERO);
     let expected = [("kudu".to_owned(), 8), ("oryx".to_owned(), 1)];
     assert_eq!(sums(&collected, 7), expected);
-    assert_eq!(collected.first(), Some(Window(7)));
+    assert_eq!(collected.first_window(), Some(Window(7)));
     collected.forget_through(Window(7));
     assert_eq!(sums(&collected, 7), []);
     assert_eq!(sums(&collected, 8), [("kudu".to_owned(), 1)]);
@@ -87,12 +87,12 @@
 
 #[test]
 fn a_node_that_begins_to_collect_gets_all() {
-    let mut first = Collected::default();
-    first.take(told("vm-1", 1_000_000, tally(&[(7, "kudu", 2)])), LENGTH);
-    let mut second = Collected::default();
-    let copies = first.copies(LENGTH * 2);
+    let mut first = FleetCounts::default();
+    first.apply(told("vm-1", 1_000_000, tally(&[(7, "kudu", 2)])), LENGTH);
+    let mut second = FleetCounts::default();
+    let copies = first.snapshot(LENGTH * 2);
     for told in copies {
-        second.take(told, Duration::ZERO);
+        second.apply(told, Duration::ZERO);
     }
     assert_eq!(sums(&second, 7), [("kudu".to_owned(), 2)]);
     let own_time = second
@@ -112,7 +112,7 @@
 fn clocks_that_are_wrong_do_not_count_until_they_are_half() {
     let now = Duration::from_secs(100);
     for wrong in 0..=7 {
-        let mut collected = Collected::default();
+        let mut collected = FleetCounts::default();
         for node in 0..15_u64 {
             let jump_ms = if node < wrong {
                 2_000 * (node + 1)
@@ -120,7 +120,7 @@
                 node
             };
             let process = format!("vm-{node}");
-            collected.take(told(&process, 1_000_000 + jump_ms, Tally::default()), now);
+            collected.apply(told(&process, 1_000_000 + jump_ms, Tally::default()), now);
         }
         let offset = collected.offset().expect("many are known");
         let off = offset.true_time(now).abs_diff(Duration::from_secs(1_000));
