--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -333,7 +333,7 @@
             remaining.mul_f64(TRY_PART).max(TRY_LEAST).min(remaining)
         };
         let request = self.upstream_request(call, &upstream, remaining);
-        let handed = self.shared.counting.hand(call.account);
+        let handed = self.shared.usage_counter.hand(call.account);
         let sending = self.exchange(call, &upstream, request, permit, handed);
         let Some(outcome) = within(patience, sending).await else {
             self.note_try(call, &upstream, "late");
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -65,8 +65,8 @@
 use crate::submission::manager::SubmissionManager;
 use crate::submission::manager::SubmissionManagerParts;
 use crate::submission::records::NodeRef;
-use crate::usage::counter::Counting;
-use crate::usage::counter::CountingParts;
+use crate::usage::counter::UsageCounter;
+use crate::usage::counter::UsageCounterParts;
 use crate::usage::report::Reporter;
 use crate::usage::report::ReporterParts;
 use crate::weights::WeightUpdater;
@@ -369,7 +369,7 @@
         journal: journal.clone(),
         dialect: Arc::clone(dialect),
     });
-    let counting = Counting::new(CountingParts {
+    let usage_counter = UsageCounter::new(UsageCounterParts {
         process: context.store.writer_id().to_owned(),
         settings: context.current_settings.clone(),
         connections: context.connections.clone(),
@@ -377,7 +377,7 @@
         boot_clock: Arc::clone(&context.sources.boot_clock),
     });
     let shared = Shared {
-        counting: counting.clone(),
+        usage_counter: usage_counter.clone(),
         fleet: Arc::clone(&fleet),
         interest: Arc::clone(&context.sources.interest),
         dialect: Arc::clone(dialect),
@@ -434,9 +434,11 @@
         boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
     });
-    context.tasks.spawn(counting.clone().run(holder.clone()));
+    context
+        .tasks
+        .spawn(usage_counter.clone().run(holder.clone()));
     let reporter = Reporter::new(ReporterParts {
-        counting: counting.clone(),
+        usage_counter: usage_counter.clone(),
         holder: holder.clone(),
         store: context.store.clone(),
         connections: context.connections.clone(),
@@ -489,7 +491,7 @@
         homes,
         home_finder,
         holder,
-        counting,
+        usage_counter,
         relay: Arc::clone(&context.sources.relay),
         connections: context.connections.clone(),
         store: context.settings.store,
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -66,8 +66,8 @@
 use crate::submission::runners::PING_PATH;
 use crate::submission::runners::account_from_header;
 use crate::submission::runners::set_account_header;
-use crate::usage::counter::Counting;
 use crate::usage::counter::USAGE_PATH;
+use crate::usage::counter::UsageCounter;
 
 /// Largest body of a store call that is made for another node: the store's values end
 /// at a megabyte.
@@ -105,7 +105,7 @@
     pub(crate) homes: Homes,
     pub(crate) home_finder: HomeFinder,
     pub(crate) holder: DutyHolder,
-    pub(crate) counting: Counting,
+    pub(crate) usage_counter: UsageCounter,
     pub(crate) relay: Arc<Relay>,
     pub(crate) connections: ConnectionPool,
     /// Address of the platform's store.
@@ -257,12 +257,12 @@
     /// Takes in what another node has counted, or tells what this one was told.
     async fn usage(&self, head: &http::request::Parts, body: Incoming) -> Response<Body> {
         if head.method == Method::GET {
-            return with_json(StatusCode::OK, self.counting.snapshot());
+            return with_json(StatusCode::OK, self.usage_counter.snapshot());
         }
         let Some(body) = read_body(body, USAGE_LIMIT_BYTES).await else {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
-        match self.counting.handle_counts(&body) {
+        match self.usage_counter.handle_counts(&body) {
             Some(answer) => with_json(StatusCode::OK, answer),
             None => empty(StatusCode::BAD_REQUEST),
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,7 +14,7 @@
 use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
 use crate::reload::CurrentSettings;
-use crate::usage::counter::Counting;
+use crate::usage::counter::UsageCounter;
 
 /// Cheap to clone.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     /// Events and metrics.
     pub journal: Journal,
     /// Counts requests of accounts.
-    pub counting: Counting,
+    pub usage_counter: UsageCounter,
     /// Mechanisms that are switched on.
     pub mechanisms: EnabledMechanisms,
 }
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -85,9 +85,9 @@
     counted: Notify,
 }
 
-/// Dependencies of a [`Counting`].
+/// Dependencies of a [`UsageCounter`].
 #[derive(Debug)]
-pub struct CountingParts {
+pub struct UsageCounterParts {
     /// Id of this process.
     pub process: String,
     /// Settings, which contain the length of windows and the seed nodes.
@@ -102,7 +102,7 @@
 
 /// Counts requests of accounts. Cheap to clone.
 #[derive(Debug, Clone)]
-pub struct Counting {
+pub struct UsageCounter {
     inner: Arc<Inner>,
 }
 
@@ -110,7 +110,7 @@
 /// answer fails or its client leaves, unless the upstream says that it did not run it.
 #[derive(Debug)]
 pub struct Handed {
-    counting: Counting,
+    usage_counter: UsageCounter,
     account: Option<String>,
     at: Duration,
 }
@@ -125,15 +125,15 @@
 impl Drop for Handed {
     fn drop(&mut self) {
         if let Some(account) = &self.account {
-            self.counting.count(self.at, account);
+            self.usage_counter.count(self.at, account);
         }
     }
 }
 
-impl Counting {
+impl UsageCounter {
     /// A counter without any counts. Reads the time of day.
     #[must_use]
-    pub fn new(parts: CountingParts) -> Self {
+    pub fn new(parts: UsageCounterParts) -> Self {
         let own_offset = Offset::between(parts.clock.since_epoch(), parts.boot_clock.since_boot());
         let state = State {
             own: Tally::default(),
@@ -161,7 +161,7 @@
     #[must_use]
     pub fn hand(&self, account: Option<&str>) -> Handed {
         Handed {
-            counting: self.clone(),
+            usage_counter: self.clone(),
             account: account.map(str::to_owned),
             at: self.inner.boot_clock.since_boot(),
         }
@@ -236,10 +236,10 @@
             .copy_seed(holder, own_address)
             .filter(|_| has_new_counts)
         {
-            let (counting, counts) = (self.clone(), counts.clone());
+            let (usage_counter, counts) = (self.clone(), counts.clone());
             drop(tokio::spawn(async move {
                 // The holder has the counts too, and the next copy contains them again.
-                drop(counting.send_to(copy_seed, &counts).await);
+                drop(usage_counter.send_to(copy_seed, &counts).await);
             }));
         }
         if duty.holds_duty() {
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -28,7 +28,7 @@
 use crate::settings::UsageSettings;
 use crate::store::CreateOutcome;
 use crate::store::Store;
-use crate::usage::counter::Counting;
+use crate::usage::counter::UsageCounter;
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Window;
 
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 pub struct ReporterParts {
     /// Counts of all nodes.
-    pub counting: Counting,
+    pub usage_counter: UsageCounter,
     /// The duty of reporting.
     pub holder: DutyHolder,
     /// The platform's store.
@@ -116,7 +116,7 @@
     /// A reporter that has not reported anything.
     #[must_use]
     pub fn new(parts: ReporterParts) -> Self {
-        let started = parts.counting.true_time();
+        let started = parts.usage_counter.true_time();
         Self { parts, started }
     }
 
@@ -154,13 +154,13 @@
     async fn load_progress(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
         let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
-        parts.counting.fetch_snapshots().await;
+        parts.usage_counter.fetch_snapshots().await;
         let mut reports: Vec<WindowReport> = objects
             .iter()
             .filter_map(|object| self.decode(object))
             .collect();
         reports.sort_by_key(|report| report.window);
-        let now = parts.counting.true_time();
+        let now = parts.usage_counter.true_time();
         let first = match reports.last() {
             Some(last) => last.window.next(),
             None => self.initial_window(usage),
@@ -179,8 +179,8 @@
 
     /// The first window to report if none was ever reported.
     fn initial_window(&self, usage: &UsageSettings) -> Window {
-        let counting = &self.parts.counting;
-        let counted = counting.with_fleet_counts(|counts| counts.first_window());
+        let usage_counter = &self.parts.usage_counter;
+        let counted = usage_counter.with_fleet_counts(|counts| counts.first_window());
         let started = Window::of(self.started, usage.window());
         counted.map_or(started, |counted| counted.min(started))
     }
@@ -192,7 +192,9 @@
     ) -> Result<(), StoreError> {
         while self.is_due(progress, usage) {
             let report = self.store_report(progress.next_window).await?;
-            self.parts.counting.record_reported(progress.next_window);
+            self.parts
+                .usage_counter
+                .record_reported(progress.next_window);
             progress.next_window = progress.next_window.next();
             progress.unsent.push(report);
         }
@@ -217,7 +219,7 @@
         let settle = usage.due_after().mul_f64(SETTLE_FRACTION);
         let final_at = progress.next_window.end(usage.window()) + settle;
         let parts = &self.parts;
-        parts.clock.now() >= progress.collect_until && parts.counting.true_time() >= final_at
+        parts.clock.now() >= progress.collect_until && parts.usage_counter.true_time() >= final_at
     }
 
     /// Writes the report of a window to the store; if an earlier holder has written one, returns
@@ -226,7 +228,7 @@
         let store = &self.parts.store;
         let counts = self
             .parts
-            .counting
+            .usage_counter
             .with_fleet_counts(|counts| counts.sum(window));
         let report = WindowReport {
             write: store.write_id(),
@@ -293,7 +295,7 @@
         taken: bool,
         usage: &UsageSettings,
     ) {
-        let now = self.parts.counting.true_time();
+        let now = self.parts.usage_counter.true_time();
         let delay = now.saturating_sub(window_report.window.end(usage.window()));
         let requests: u64 = window_report
             .counts
