--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -49,7 +49,7 @@
 use crate::respond::reason_of;
 use crate::respond::refusal;
 use crate::shared::Shared;
-use crate::usage::counter::Handed;
+use crate::usage::counter::TrackedRequest;
 
 /// How long a client is kept waiting that does not say how long it waits.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -333,8 +333,8 @@
             remaining.mul_f64(TRY_PART).max(TRY_LEAST).min(remaining)
         };
         let request = self.upstream_request(call, &upstream, remaining);
-        let handed = self.shared.usage_counter.hand(call.account);
-        let sending = self.exchange(call, &upstream, request, permit, handed);
+        let tracked = self.shared.usage_counter.track_request(call.account);
+        let sending = self.exchange(call, &upstream, request, permit, tracked);
         let Some(outcome) = within(patience, sending).await else {
             self.note_try(call, &upstream, "late");
             return Try::Unknown;
@@ -365,7 +365,7 @@
         upstream: &Upstream,
         request: Request<Full<Bytes>>,
         permit: Permit,
-        handed: Handed,
+        tracked: TrackedRequest,
     ) -> Try {
         let exchange = match self
             .shared
@@ -378,7 +378,7 @@
                 self.note_try(call, upstream, "no-answer");
                 return match error {
                     CallError::Refused | CallError::NotSent => {
-                        handed.did_not_run();
+                        tracked.record_not_run();
                         permit.finish(Ending::Unreachable, 0);
                         Try::NotSent
                     }
@@ -394,7 +394,7 @@
         let load = self.shared.usable_load(said.load);
         let own = said.request_id.as_deref().unwrap_or_default() == call.routed.request_id;
         if said.not_run {
-            handed.did_not_run();
+            tracked.record_not_run();
             if body.collect().await.is_ok() {
                 exchange.connection.return_to_pool();
             }
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -109,20 +109,20 @@
 /// A request that is sent to an upstream. It is counted when this value is dropped, even if its
 /// answer fails or its client leaves, unless the upstream says that it did not run it.
 #[derive(Debug)]
-pub struct Handed {
+pub struct TrackedRequest {
     usage_counter: UsageCounter,
     account: Option<String>,
     at: Duration,
 }
 
-impl Handed {
+impl TrackedRequest {
     /// Excludes the request from the counts because the upstream did not run it.
-    pub fn did_not_run(mut self) {
+    pub fn record_not_run(mut self) {
         self.account = None;
     }
 }
 
-impl Drop for Handed {
+impl Drop for TrackedRequest {
     fn drop(&mut self) {
         if let Some(account) = &self.account {
             self.usage_counter.count(self.at, account);
@@ -159,8 +159,8 @@
     /// Tracks a request that is about to be sent to an upstream; one without an account is not
     /// counted.
     #[must_use]
-    pub fn hand(&self, account: Option<&str>) -> Handed {
-        Handed {
+    pub fn track_request(&self, account: Option<&str>) -> TrackedRequest {
+        TrackedRequest {
             usage_counter: self.clone(),
             account: account.map(str::to_owned),
             at: self.inner.boot_clock.since_boot(),
