--- a/crates/node/src/usage/clock_offset.rs
+++ b/crates/node/src/usage/clock_offset.rs
@@ -10,9 +10,9 @@
 
 /// Offset of true time since 1970 from the time since the system's start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offset(Duration);
+pub struct ClockOffset(Duration);
 
-impl Offset {
+impl ClockOffset {
     /// Offset that maps `since_boot`, the time since the system's start, to `since_epoch`.
     #[must_use]
     pub const fn between(since_epoch: Duration, since_boot: Duration) -> Self {
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -25,7 +25,7 @@
 use crate::duty::BootClock;
 use crate::holder::DutyHolder;
 use crate::reload::CurrentSettings;
-use crate::usage::clock_offset::Offset;
+use crate::usage::clock_offset::ClockOffset;
 use crate::usage::fleet_counts::FleetCounts;
 use crate::usage::fleet_counts::ProcessCounts;
 use crate::usage::tally::Tally;
@@ -64,9 +64,9 @@
 struct State {
     own: Tally,
     /// Offset by this node's own clock.
-    own_offset: Offset,
+    own_offset: ClockOffset,
     /// Offset by the clocks of all nodes; `None` until it is known.
-    fleet_offset: Option<Offset>,
+    fleet_offset: Option<ClockOffset>,
     /// Counts received from other nodes, and from this one while it is the holder.
     fleet_counts: FleetCounts,
     /// The last reported window; `None` if none is known.
@@ -134,7 +134,8 @@
     /// A counter without any counts. Reads the time of day.
     #[must_use]
     pub fn new(parts: UsageCounterParts) -> Self {
-        let own_offset = Offset::between(parts.clock.since_epoch(), parts.boot_clock.since_boot());
+        let own_offset =
+            ClockOffset::between(parts.clock.since_epoch(), parts.boot_clock.since_boot());
         let state = State {
             own: Tally::default(),
             own_offset,
@@ -299,7 +300,7 @@
         let now = self.inner.boot_clock.since_boot();
         let true_time = Duration::from_millis(reply.true_time_ms);
         let mut state = self.lock();
-        state.fleet_offset = Some(Offset::between(true_time, now));
+        state.fleet_offset = Some(ClockOffset::between(true_time, now));
         state.record_reported(reply.reported);
     }
 
@@ -377,7 +378,7 @@
 }
 
 impl State {
-    fn offset(&self) -> Offset {
+    fn offset(&self) -> ClockOffset {
         self.fleet_offset.unwrap_or(self.own_offset)
     }
 
--- a/crates/node/src/usage/fleet_counts.rs
+++ b/crates/node/src/usage/fleet_counts.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::usage::clock_offset::Offset;
+use crate::usage::clock_offset::ClockOffset;
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Tally;
 use crate::usage::tally::Window;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Process {
     id: String,
-    offset: Offset,
+    offset: ClockOffset,
     received_at: Duration,
     tally: Tally,
 }
@@ -44,7 +44,7 @@
     /// Merges the counts of a process. `now` is the time since the system's start.
     pub fn apply(&mut self, received: ProcessCounts, now: Duration) {
         let own_time = Duration::from_millis(received.own_time_ms);
-        let offset = Offset::between(own_time, now);
+        let offset = ClockOffset::between(own_time, now);
         match self
             .processes
             .binary_search_by(|process| process.id.cmp(&received.process))
@@ -108,8 +108,8 @@
 
     /// Median of the clock offsets of all processes; `None` if no process is known.
     #[must_use]
-    pub fn offset(&self) -> Option<Offset> {
-        Offset::median(
+    pub fn offset(&self) -> Option<ClockOffset> {
+        ClockOffset::median(
             self.processes
                 .iter()
                 .map(|process| process.offset)
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firweir_node::usage::clock_offset::Offset;
+use firweir_node::usage::clock_offset::ClockOffset;
 use firweir_node::usage::fleet_counts::FleetCounts;
 use firweir_node::usage::fleet_counts::ProcessCounts;
 use firweir_node::usage::tally::AccountCount;
@@ -129,5 +129,5 @@
             "{wrong} wrong: {off:?} off"
         );
     }
-    assert_eq!(Offset::median(Vec::new()), None);
+    assert_eq!(ClockOffset::median(Vec::new()), None);
 }
