--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -67,8 +67,8 @@
 use crate::submission::records::NodeRef;
 use crate::usage::counter::UsageCounter;
 use crate::usage::counter::UsageCounterParts;
-use crate::usage::report::Reporter;
-use crate::usage::report::ReporterParts;
+use crate::usage::report::UsageReporter;
+use crate::usage::report::UsageReporterParts;
 use crate::weights::WeightUpdater;
 use crate::weights::WeightUpdaterParts;
 
@@ -437,7 +437,7 @@
     context
         .tasks
         .spawn(usage_counter.clone().run(holder.clone()));
-    let reporter = Reporter::new(ReporterParts {
+    let reporter = UsageReporter::new(UsageReporterParts {
         usage_counter: usage_counter.clone(),
         holder: holder.clone(),
         store: context.store.clone(),
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -70,9 +70,9 @@
     counts: Vec<AccountCount>,
 }
 
-/// Dependencies of a [`Reporter`].
+/// Dependencies of a [`UsageReporter`].
 #[derive(Debug)]
-pub struct ReporterParts {
+pub struct UsageReporterParts {
     /// Counts of all nodes.
     pub usage_counter: UsageCounter,
     /// The duty of reporting.
@@ -93,8 +93,8 @@
 
 /// Reports usage while this node holds the duty.
 #[derive(Debug)]
-pub struct Reporter {
-    parts: ReporterParts,
+pub struct UsageReporter {
+    parts: UsageReporterParts,
     /// True time at this process's start.
     started: Duration,
 }
@@ -112,10 +112,10 @@
     collect_until: Instant,
 }
 
-impl Reporter {
+impl UsageReporter {
     /// A reporter that has not reported anything.
     #[must_use]
-    pub fn new(parts: ReporterParts) -> Self {
+    pub fn new(parts: UsageReporterParts) -> Self {
         let started = parts.usage_counter.true_time();
         Self { parts, started }
     }
