--- a/crates/node/src/scaling/sending.rs
+++ b/crates/node/src/scaling/sending.rs
@@ -20,7 +20,7 @@
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Delay before upstreams are ordered again that the platform did not have.
-const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(5);
+const COOLDOWN: Duration = Duration::from_secs(5);
 
 /// Fraction of the allowed calls per second that orders use; the rest is for other duties.
 const CALL_RATE_FRACTION: f64 = 0.5;
@@ -76,10 +76,10 @@
     ) -> Option<DutyAnswer> {
         let parts = &self.parts;
         let epoch = self.verified(state.epoch).await?;
-        let zone_orders = &state.all_orders[index];
+        let orders = &state.all_orders[index];
         let request = parts.dialect.scale_order(&ScaleOrder {
-            service: &zone_orders.service,
-            zone: &zone_orders.zone,
+            service: &orders.service,
+            zone: &orders.zone,
             capacity_type: order.capacity_type,
             count: order.count,
             holder: parts.holder.name(),
@@ -107,22 +107,20 @@
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
-        let zone_orders = &mut state.all_orders[index];
+        let orders = &mut state.all_orders[index];
         match answer {
-            DutyAnswer::Done => zone_orders.record_done(capacity_type, now),
+            DutyAnswer::Done => orders.record_done(capacity_type, now),
             DutyAnswer::Later => {
-                zone_orders.schedule_retry(capacity_type, now + Self::retry_delay());
+                orders.schedule_retry(capacity_type, now + Self::retry_delay());
                 return Ok(true);
             }
-            DutyAnswer::Unavailable => {
-                zone_orders.record_unavailable(capacity_type, now + UNAVAILABLE_RETRY_DELAY)
-            }
+            DutyAnswer::Unavailable => orders.record_unavailable(capacity_type, now + COOLDOWN),
         }
         // Without this write a successor would repeat an order that was already answered.
         let Some(epoch) = self.verified(state.epoch).await else {
             return Ok(false);
         };
-        zone_orders.write(&self.parts.store, epoch).await?;
+        orders.write(&self.parts.store, epoch).await?;
         Ok(true)
     }
 
@@ -134,7 +132,7 @@
         scaled: &ScaledService<'_>,
         answer: DutyAnswer,
     ) {
-        let zone_orders = &state.all_orders[index];
+        let orders = &state.all_orders[index];
         let journal = &self.parts.journal;
         journal.count(match answer {
             DutyAnswer::Done => "scale.ordered",
@@ -149,8 +147,8 @@
         journal.event(
             event,
             &[
-                ("service", &zone_orders.service),
-                ("zone", &zone_orders.zone),
+                ("service", &orders.service),
+                ("zone", &orders.zone),
                 ("kind", &format_args!("{:?}", order.capacity_type)),
                 ("number", &order.count),
                 ("before", &order.before),
