--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -57,7 +57,8 @@
 /// Least number of events of a text that is saved: a shorter one is quickly generated again.
 const MIN_SAVED_EVENTS: usize = 25;
 
-/// Longest time between two checks for work that no notification announces.
+/// Longest time between two checks for work that no notification announces, and least time
+/// between two passes over all waiting samples.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Generates the samples of this node's submissions; cheap to clone.
@@ -275,14 +276,14 @@
     fn place_samples(&self) -> tokio::time::Instant {
         let now = self.shared.clock.now();
         let mut state = self.lock();
-        let drafts = !state.jobs.is_empty();
-        let models = if drafts {
+        let has_samples = !state.jobs.is_empty();
+        let models = if has_samples {
             state.drafted_models.as_slice()
         } else {
             &[]
         };
         self.shared.interest.set_drafted_models(now, models);
-        if drafts {
+        if has_samples {
             self.update_engines(&mut state);
         }
         self.abandon_expired(&mut state);
@@ -712,8 +713,9 @@
             let after = saved_before.map_or(0, |saved| saved.events);
             let complete = job.progress.complete;
             let (events, versions) = (&job.progress.events, &job.progress.versions);
-            let longer = events.len() >= MIN_SAVED_EVENTS.max(after + 1);
-            let is_new = longer || (complete && saved_before.is_none_or(|saved| !saved.complete));
+            let is_longer = events.len() >= MIN_SAVED_EVENTS.max(after + 1);
+            let is_new =
+                is_longer || (complete && saved_before.is_none_or(|saved| !saved.complete));
             // A restarted text does not continue the saved one.
             (is_new && !job.progress.restarted).then(|| TextPiece {
                 item: item.clone(),
