--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows one kind of objects for as long as the process lives: from the seeds of
-//! the settings where the deployment allows it, else from the platform's store.
+//! Follows one kind of stored objects for the life of the process: through the seed nodes of the
+//! settings if the deployment allows it, otherwise directly from the platform's store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,43 +32,42 @@
 use crate::roster::LocalMember;
 use crate::store::Store;
 
-/// How long one watch may wait. A store that drops its history lets the watches that
-/// wait then hear nothing and does not cut them all. This wait and a list have to fit into
-/// the time in which a change comes into force.
+/// Longest wait of one watch. A store that compacts its history leaves some waiting watches open
+/// without answering them, so this wait plus a list must fit into the time limit for a change to
+/// come into force.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// How long a watch may wait of what may be known seconds late. Such an answer costs a
-/// tenth, and may be older than the wait in a bad spell.
+/// Longest wait of a watch whose answers may be seconds old. Such an answer costs a tenth of a
+/// fresh one; while the store is disturbed it may be older than this.
 const STALE_WATCH_WAIT: Duration = Duration::from_secs(3);
 
-/// Pause after a failed call, up to half of it more at random: the store's
-/// outages take seconds, each call costs, and all nodes would come at once. A store
-/// that drops its history answers at once, for seconds.
+/// Pause after a failed call; up to half of it is added as jitter. Outages of the store take
+/// seconds, each call costs, and without jitter all nodes would retry at the same time. A store
+/// that is compacting its history fails calls immediately, for seconds.
 const RETRY_PAUSE: Duration = Duration::from_millis(600);
 
 /// Tries of one page of a list. Without them one failed page restarts the whole list, which
 /// then never completes while the store is busy.
-const PAGE_TRIES: u32 = 3;
+const MAX_PAGE_TRIES: u32 = 3;
 
 /// Shortest pause before a page is requested again; up to the same time is added as jitter.
-const PAGE_PAUSE: Duration = Duration::from_millis(150);
+const MIN_PAGE_PAUSE: Duration = Duration::from_millis(150);
 
-/// How a kind is followed now; asked anew before each call.
+/// How a kind is followed; evaluated before each call.
 #[derive(Debug, Clone, Copy)]
 pub struct FollowOptions {
-    /// How old its answers may be.
+    /// How old answers may be.
     pub freshness: Freshness,
-    /// Pause between two watches. Changes in between come in one answer, and each
-    /// answer costs a call on every node.
+    /// Pause between two watches, to batch changes: each answer costs a call on every node.
     pub pause: Duration,
-    /// The same on a seed.
+    /// Pause between two watches on a seed.
     pub seed_pause: Duration,
-    /// Longest wait of a watch, where answers have to come more often than usual.
+    /// Upper bound of the wait of a watch, if answers are needed more often than usual.
     pub max_watch: Option<Duration>,
 }
 
 impl FollowOptions {
-    /// Every change at once.
+    /// Reports every change immediately.
     #[must_use]
     pub const fn immediate() -> Self {
         Self {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Changes that may be known seconds late, at a tenth of the price.
+    /// Reports changes up to seconds late, at a tenth of the cost.
     #[must_use]
     pub const fn delayed() -> Self {
         Self {
@@ -91,60 +90,60 @@
     }
 }
 
-/// Nodes that pass on what the store shows; cheap to clone.
+/// The nodes that relay the store's objects; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Seeds {
     current: Arc<ArcSwap<SeedSet>>,
 }
 
-/// Seeds as they are now.
+/// The seed nodes at one time.
 #[derive(Debug, Clone, Default)]
 pub struct SeedSet {
-    /// Seeds to ask, without this node; none where the store is always asked.
+    /// Seeds that this node polls, without itself; empty if it reads the store directly.
     pub polled: Vec<SocketAddr>,
-    /// All seeds but this node, where they are asked at all.
+    /// All seeds except this node; empty if the deployment uses no seeds.
     pub others: Vec<SocketAddr>,
-    /// This node is a seed that others ask.
+    /// This node is a seed that other nodes poll.
     pub is_seed: bool,
 }
 
 impl Seeds {
-    /// Other seeds from now on.
+    /// Replaces the seeds.
     pub fn set(&self, seeds: SeedSet) {
         self.current.store(Arc::new(seeds));
     }
 
-    /// The seeds now.
+    /// The current seeds.
     #[must_use]
     pub fn current(&self) -> Arc<SeedSet> {
         self.current.load_full()
     }
 
-    /// One of the seeds, by turns.
+    /// The polled seed at `index`, modulo their number; `None` if there are none.
     pub(crate) fn round_robin(&self, index: usize) -> Option<SocketAddr> {
         let polled = &self.current.load().polled;
         polled.get(index.checked_rem(polled.len())?).copied()
     }
 }
 
-/// Where kinds are followed from; cheap to clone.
+/// Dependencies of a follower; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Sources {
     /// The platform's store.
     pub store: Store,
     /// Connections to seeds.
     pub connections: ConnectionPool,
-    /// Seeds to ask, and whether others ask this node.
+    /// Seeds to poll, and whether this node is one.
     pub seeds: Seeds,
-    /// What this node passes on.
+    /// Objects that this node relays.
     pub relay: Arc<Relay>,
-    /// What this node wants to know of upstreams.
+    /// Upstreams that this node subscribes to.
     pub interest: Arc<Interest>,
-    /// What it tells seeds of itself.
+    /// What this node announces to seeds.
     pub local_member: LocalMember,
-    /// Reads what entries of upstreams say.
+    /// Decodes entries of upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// Whether the store turns this node away.
+    /// Whether the store rejects this node's calls.
     pub outage: Outage,
     /// Reads per second that the store can serve to all nodes together.
     pub store_reads_per_s: f64,
@@ -152,56 +151,56 @@
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
     pub boot_clock: Arc<dyn BootClock>,
-    /// Events.
+    /// Event log.
     pub journal: Journal,
 }
 
-/// What a follower tells of its kind.
+/// Changes that a follower reports together.
 #[derive(Debug)]
 pub struct ChangeBatch {
-    /// What has changed, in order.
+    /// The changes, in order.
     pub changes: Vec<Change>,
-    /// With these changes all that the store had then is known, on the clock that counts
-    /// suspended time. A watch counts from when it was sent: one that waits may hear nothing
-    /// while the store drops its history. `None` if the answer may be old.
+    /// When the store had nothing newer than these changes, on the clock that counts suspended
+    /// time; `None` if the answer may be old. For a watch this is when it was sent, since a
+    /// waiting watch may receive nothing while the store compacts its history.
     pub as_of: Option<Duration>,
-    /// What of the kind is followed.
+    /// Which part of the kind's list is followed.
     pub extent: Extent,
 }
 
-/// How much of a kind's list a node is told of; `None` for what is as before.
+/// How much of a kind's list a node receives; fields are `None` if unchanged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Extent {
-    /// Objects in all.
+    /// Number of objects in the full list.
     pub total_objects: Option<usize>,
-    /// All of them are told, not only a part.
+    /// The node receives all of them, not only a part.
     pub is_complete: Option<bool>,
 }
 
-/// One kind as its follower knows it.
+/// State of following one kind.
 pub(crate) struct Follower {
     pub(crate) sources: Sources,
     pub(crate) kind: ObjectKind,
-    /// Revision of the store up to which changes are known.
+    /// Store revision up to which changes are known.
     pub(crate) since: Option<u64>,
-    /// Highest revision of the store that was known at any time.
-    pub(crate) newest: u64,
+    /// Highest store revision that was ever known.
+    pub(crate) newest_revision: u64,
     /// The store did not answer the last call.
-    pub(crate) lost: bool,
-    /// A watch broke off, so that changes may have been missed.
-    pub(crate) gap: bool,
+    pub(crate) store_lost: bool,
+    /// A watch failed, so changes may have been missed.
+    pub(crate) has_gap: bool,
     /// When the kind was last listed.
-    pub(crate) listed: Option<Instant>,
-    /// Seeds are left alone until then.
-    pub(crate) seeds_after: Option<Instant>,
-    /// Seed to ask next.
+    pub(crate) last_listed: Option<Instant>,
+    /// Seeds are not polled before this time.
+    pub(crate) seeds_paused_until: Option<Instant>,
+    /// Index of the seed to poll next.
     pub(crate) next_seed: usize,
-    /// What is followed of upstreams.
+    /// Entries of upstreams that are followed.
     pub(crate) subscription: Subscription,
     /// Fleet size as a seed last reported it; `None` before the first answer.
     pub(crate) fleet_size: Option<FleetSize>,
-    /// Whether any seed answered in the last round of questions, even with outdated data.
-    pub(crate) seeds_answer: bool,
+    /// Whether any seed answered in the last round of polls, even with outdated data.
+    pub(crate) any_seed_answered: bool,
     /// Decides when this node lists all upstreams itself.
     pub(crate) relist: RelistTimer,
 }
@@ -219,12 +218,12 @@
     pub(crate) batch: ChangeBatch,
 }
 
-/// Follows a kind and tells `take` of its changes, as they come together. Never ends.
+/// Follows a kind and passes each batch of its changes to `apply`. Never returns.
 pub async fn follow(
     sources: Sources,
     kind: ObjectKind,
-    how: impl Fn() -> FollowOptions,
-    mut take: impl FnMut(ChangeBatch),
+    options: impl Fn() -> FollowOptions,
+    mut apply: impl FnMut(ChangeBatch),
 ) {
     let next_seed = rand::rng().random_range(0..sources.seeds.current().polled.len().max(1));
     let subscription = sources.interest.subscription();
@@ -233,57 +232,58 @@
         sources,
         kind,
         since: None,
-        newest: 0,
-        lost: false,
-        gap: false,
-        listed: None,
-        seeds_after: None,
+        newest_revision: 0,
+        store_lost: false,
+        has_gap: false,
+        last_listed: None,
+        seeds_paused_until: None,
         next_seed,
         fleet_size: None,
-        seeds_answer: false,
+        any_seed_answered: false,
         relist: RelistTimer::default(),
     };
-    follower.await_need().await;
-    let mut passed_on = follower.await_seeds().await;
+    follower.wait_until_needed().await;
+    let mut seed_update = follower.first_seed_update().await;
     loop {
-        follower.await_need().await;
-        follower.take_interest();
-        if passed_on.is_none() {
-            passed_on = follower.ask_seeds().await;
+        follower.wait_until_needed().await;
+        follower.update_subscription();
+        if seed_update.is_none() {
+            seed_update = follower.poll_seeds().await;
         }
-        let update = match passed_on.take() {
+        let update = match seed_update.take() {
             Some(update) => update,
-            None if follower.leaves_list_to_seeds() => {
+            None if follower.waits_for_seeds() => {
                 follower.pause().await;
                 continue;
             }
-            None => match follower.ask_store(how()).await {
+            None => match follower.read_store(options()).await {
                 Ok(update) => update,
                 Err(error) => {
-                    follower.note_failure(&error).await;
+                    follower.record_failure(&error).await;
                     continue;
                 }
             },
         };
         follower.sources.outage.record_answer();
-        follower.newest = follower.newest.max(update.revision);
-        follower.since = Some(follower.newest);
-        take(update.batch);
+        follower.newest_revision = follower.newest_revision.max(update.revision);
+        follower.since = Some(follower.newest_revision);
+        apply(update.batch);
     }
 }
 
 impl Follower {
-    /// Versions of weights say something to nodes that follow engines; each is news to all
-    /// that ask, and trainers name some every second.
-    async fn await_need(&self) {
+    /// Waits until this node needs the kind. Versions of weights matter only to nodes that follow
+    /// engines; each new version costs an answer to every node that polls for them, and trainers
+    /// announce some every second.
+    async fn wait_until_needed(&self) {
         if self.kind == ObjectKind::WeightVersions {
             self.sources.interest.wait_until_engines_followed().await;
         }
     }
 
-    /// A node that wants to know something else than before needs the whole list once.
-    /// Tells whether it does.
-    pub(crate) fn take_interest(&mut self) -> bool {
+    /// Adopts the current subscription, and requests the full list if it changed. Returns whether
+    /// it changed.
+    pub(crate) fn update_subscription(&mut self) -> bool {
         let subscription = self.sources.interest.subscription();
         let is_new = self.kind == ObjectKind::Upstreams && subscription != self.subscription;
         if is_new {
@@ -293,25 +293,25 @@
         is_new
     }
 
-    /// What the store shows: a list at first and after a gap, then changes.
+    /// Reads the store: lists the kind at first and after a gap, then watches for changes.
     ///
-    /// A watch that broke off is not begun again: a store that is about to drop its
-    /// history lets such a watch wait and tells it nothing, for seconds.
-    async fn ask_store(&mut self, how: FollowOptions) -> Result<Update, StoreError> {
+    /// A failed watch is not resumed: a store that is about to compact its history leaves such a
+    /// watch waiting for seconds without an answer.
+    async fn read_store(&mut self, options: FollowOptions) -> Result<Update, StoreError> {
         self.sources.outage.wait_while_probed(self.kind).await;
-        let update = match self.since.filter(|_| !self.gap) {
-            // The newest list: while the store drops its history, the revision of a
-            // stale one is already gone, and no watch could start from it.
+        let update = match self.since.filter(|_| !self.has_gap) {
+            // Lists the newest state: while the store compacts its history, the revision of a
+            // stale list is already gone, and no watch could start from it.
             None => {
                 let sent = self.sources.boot_clock.since_boot();
                 let (mut objects, revision) =
                     list(&self.sources.store, self.kind, Freshness::Newest).await?;
-                self.listed = Some(self.sources.clock.now());
+                self.last_listed = Some(self.sources.clock.now());
                 let extent = Extent {
                     total_objects: Some(objects.len()),
                     is_complete: Some(self.subscription == Subscription::All),
                 };
-                objects.retain(|object| self.is_wanted(object));
+                objects.retain(|object| self.is_followed(object));
                 Update {
                     revision,
                     batch: ChangeBatch {
@@ -321,10 +321,10 @@
                     },
                 }
             }
-            Some(since) => self.watch(since, how).await?,
+            Some(since) => self.watch(since, options).await?,
         };
-        self.gap = false;
-        if std::mem::take(&mut self.lost) {
+        self.has_gap = false;
+        if std::mem::take(&mut self.store_lost) {
             let kind = format_args!("{:?}", self.kind);
             self.sources
                 .journal
@@ -340,9 +340,9 @@
         Ok(update)
     }
 
-    /// Whether this node follows an object that the store shows. A node must not know what it
-    /// does not follow: once it asks a seed again it hears no change of that.
-    fn is_wanted(&self, object: &Object) -> bool {
+    /// Whether this node follows an object of the store. Other objects must be dropped: once the
+    /// node polls a seed again, it would miss their changes.
+    fn is_followed(&self, object: &Object) -> bool {
         match &self.subscription {
             Subscription::Filtered(filter) if self.kind == ObjectKind::Upstreams => {
                 let routing = self.digest_of(object);
@@ -352,7 +352,8 @@
         }
     }
 
-    /// Whereabouts that an entry tells; none if it cannot be read.
+    /// The routing digest of an upstream's entry; `None` if the entry is invalid or of another
+    /// kind.
     fn digest_of(&self, object: &Object) -> Option<RoutingDigest> {
         if self.kind != ObjectKind::Upstreams {
             return None;
@@ -361,27 +362,31 @@
         Some(RoutingDigest::of_upstream(&upstream))
     }
 
-    async fn watch(&self, since: u64, how: FollowOptions) -> Result<Update, StoreError> {
+    async fn watch(&self, since: u64, options: FollowOptions) -> Result<Update, StoreError> {
         let seeds = self.sources.seeds.current();
         let is_seed = seeds.is_seed && path_name_of(self.kind).is_some();
-        let many = !seeds.polled.is_empty();
-        let pause = if is_seed { how.seed_pause } else { how.pause };
+        let has_seeds = !seeds.polled.is_empty();
+        let pause = if is_seed {
+            options.seed_pause
+        } else {
+            options.pause
+        };
         tokio::time::sleep(pause).await;
-        // Others trust what a seed passes on. Homes of models may be old for them too.
+        // Other nodes rely on a seed's data to be fresh, except for the homes of models.
         let freshness = if is_seed && self.kind != ObjectKind::Duties {
             Freshness::Newest
         } else {
-            how.freshness
+            options.freshness
         };
         let wait = match freshness {
-            // Nodes that may ask seeds look for one again soon.
-            // With its pause a seed's knowledge stays as young.
+            // Includes the pause, so that the age of a seed's data stays bounded.
             _ if is_seed => SEED_WATCH_WAIT.saturating_sub(pause),
-            _ if many => SEED_WATCH_WAIT,
+            // Nodes that use seeds try them again soon.
+            _ if has_seeds => SEED_WATCH_WAIT,
             Freshness::Newest => WATCH_WAIT,
             Freshness::Seconds => STALE_WATCH_WAIT,
         };
-        let wait = how.max_watch.map_or(wait, |most| wait.min(most));
+        let wait = options.max_watch.map_or(wait, |most| wait.min(most));
         let watch = StoreCall::Watch {
             kind: self.kind,
             since,
@@ -394,7 +399,7 @@
                 changes, revision, ..
             } => {
                 let changes = changes.into_iter().map(|change| {
-                    if change.deleted || !self.is_wanted(&change.object) {
+                    if change.deleted || !self.is_followed(&change.object) {
                         Change::Removed(change.object.name)
                     } else {
                         Change::Put(change.object)
@@ -413,22 +418,22 @@
         }
     }
 
-    async fn note_failure(&mut self, error: &StoreError) {
+    async fn record_failure(&mut self, error: &StoreError) {
         let kind = format!("{:?}", self.kind);
         let journal = &self.sources.journal;
-        self.gap = true;
+        self.has_gap = true;
         self.sources.outage.record_failure(self.kind, error);
         if matches!(error, StoreError::HistoryGone) {
             journal.event("history_gone", &[("kind", &kind)]);
             let now = self.sources.clock.now();
-            let listed = self.listed.map(|listed| now.duration_since(listed));
-            // The first time a list follows at once; a list whose own revision is gone
-            // again has to wait.
-            if listed.is_none_or(|age| age > RETRY_PAUSE) {
+            let list_age = self.last_listed.map(|listed| now.duration_since(listed));
+            // Lists immediately at first, but pauses if the revision of that list is already gone
+            // too.
+            if list_age.is_none_or(|age| age > RETRY_PAUSE) {
                 return;
             }
-        } else if !self.lost {
-            self.lost = true;
+        } else if !self.store_lost {
+            self.store_lost = true;
             journal.event("store_lost", &[("kind", &kind), ("cause", error)]);
         }
         self.pause().await;
@@ -440,27 +445,27 @@
     }
 }
 
-/// Requests one page of a list. Pages after the first are tried up to [`PAGE_TRIES`] times.
+/// Requests one page of a list. Pages after the first are tried up to [`MAX_PAGE_TRIES`] times.
 async fn page(store: &Store, call: &StoreCall, is_later: bool) -> Result<StoreAnswer, StoreError> {
-    let mut tries = if is_later { PAGE_TRIES } else { 1 };
+    let mut tries = if is_later { MAX_PAGE_TRIES } else { 1 };
     loop {
         let answer = store.call(call).await;
         tries -= 1;
         if answer.is_ok() || tries == 0 {
             return answer;
         }
-        let pause = PAGE_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0));
+        let pause = MIN_PAGE_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0));
         tokio::time::sleep(pause).await;
     }
 }
 
-/// All objects of a kind, and the revision to watch from. With several pages
-/// that is the first page's: what changed between pages is then seen twice, and
-/// nothing is missed.
+/// Lists all objects of a kind, and returns the revision to watch from. With several pages that
+/// is the revision of the first page: changes between pages are then seen twice, but none is
+/// missed.
 ///
 /// # Errors
 ///
-/// The store did not answer.
+/// If the store did not answer.
 pub async fn list(
     store: &Store,
     kind: ObjectKind,
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -1,5 +1,5 @@
-//! Updates that a follower gets from seeds, and when it relies on seeds instead of listing
-//! all upstreams from the store itself.
+//! The part of a follower that polls seeds, and decides when to wait for them instead of listing
+//! all upstreams from the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,79 +24,79 @@
 use crate::relay::path_name_of;
 use crate::roster::MEMBER_HEADER;
 
-/// After a round in which no seed had an update, seeds are not asked again for this long;
-/// meanwhile the store is asked.
+/// After a round in which no seed had an update, seeds are not polled again for this long;
+/// meanwhile the node reads the store.
 const SEEDS_PAUSE: Duration = Duration::from_secs(3);
 
-/// After a start a node waits this long for its seeds, which start at the same time
-/// and need a list of their own first; then it asks the store.
-const SEEDS_START: Duration = Duration::from_millis(2_500);
+/// After its start a node waits this long for its seeds before it reads the store: they may have
+/// started at the same time and need a list of their own first.
+const SEEDS_START_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time between two tries of the seeds after a start.
-const SEEDS_START_PAUSE: Duration = Duration::from_millis(250);
+/// Pause between two polls of seeds after a start.
+const SEEDS_START_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 impl Follower {
-    /// Waits up to [`SEEDS_START`] for the first update from a seed; `None` if none came.
-    pub(crate) async fn await_seeds(&mut self) -> Option<Update> {
-        let until = self.sources.clock.now() + SEEDS_START;
+    /// Waits up to [`SEEDS_START_TIMEOUT`] for the first update from a seed; `None` if none came.
+    pub(crate) async fn first_seed_update(&mut self) -> Option<Update> {
+        let until = self.sources.clock.now() + SEEDS_START_TIMEOUT;
         let name = path_name_of(self.kind)?;
         while self.sources.clock.now() < until {
             let seed = self.sources.seeds.round_robin(self.next_seed)?;
-            let relay_answer = self.ask_seed(seed, name).await;
-            if self.take_interest() {
+            let relay_answer = self.poll_seed(seed, name).await;
+            if self.update_subscription() {
                 continue;
             }
-            let update =
-                relay_answer.and_then(|(relay_answer, sent)| self.update_of(relay_answer, sent));
+            let update = relay_answer
+                .and_then(|(relay_answer, sent)| self.update_if_fresh(relay_answer, sent));
             if update.is_some() {
                 return update;
             }
             self.next_seed += 1;
-            tokio::time::sleep(SEEDS_START_PAUSE).await;
+            tokio::time::sleep(SEEDS_START_RETRY_PAUSE).await;
         }
         None
     }
 
     /// An update from the first seed that is up to date; `None` if there is none.
-    pub(crate) async fn ask_seeds(&mut self) -> Option<Update> {
+    pub(crate) async fn poll_seeds(&mut self) -> Option<Update> {
         let name = path_name_of(self.kind)?;
         let now = self.sources.clock.now();
-        if self.seeds_after.is_some_and(|after| after > now) {
+        if self.seeds_paused_until.is_some_and(|after| after > now) {
             return None;
         }
-        self.seeds_answer = false;
-        let mut old = None;
+        self.any_seed_answered = false;
+        let mut outdated = None;
         for _ in 0..self.sources.seeds.current().polled.len() {
             let seed = self.sources.seeds.round_robin(self.next_seed)?;
-            let relay_answer = self.ask_seed(seed, name).await;
-            // The question has changed since; its answer is of no use.
-            if self.take_interest() {
+            let relay_answer = self.poll_seed(seed, name).await;
+            // The subscription has changed, so the answer does not match it.
+            if self.update_subscription() {
                 continue;
             }
             if let Some((relay_answer, sent)) = relay_answer {
-                if self.is_new_enough(&relay_answer) {
+                if self.is_up_to_date(&relay_answer) {
                     self.relist.cancel();
-                    return self.update_of(relay_answer, sent);
+                    return self.update_if_fresh(relay_answer, sent);
                 }
-                old = Some(relay_answer);
+                outdated = Some(relay_answer);
             }
             self.next_seed += 1;
         }
-        self.seeds_after = Some(now + SEEDS_PAUSE);
-        old.and_then(|relay_answer| self.first_of(relay_answer))
+        self.seeds_paused_until = Some(now + SEEDS_PAUSE);
+        outdated.and_then(|relay_answer| self.first_outdated_update(relay_answer))
     }
 
     /// Whether this node waits for its seeds instead of listing all upstreams itself, because the
-    /// lists of all nodes together would overload the store. Seeds that have not caught up are
-    /// then asked again soon.
-    pub(crate) fn leaves_list_to_seeds(&mut self) -> bool {
+    /// lists of all nodes together would overload the store. If so, seeds that lag are polled
+    /// again soon.
+    pub(crate) fn waits_for_seeds(&mut self) -> bool {
         // A watch is a single call; only lists can overload the store.
-        let needs_list = self.since.is_none() || self.gap;
-        let asks_seeds = !self.sources.seeds.current().polled.is_empty();
-        if self.kind != ObjectKind::Upstreams || !needs_list || !asks_seeds {
+        let needs_list = self.since.is_none() || self.has_gap;
+        let polls_seeds = !self.sources.seeds.current().polled.is_empty();
+        if self.kind != ObjectKind::Upstreams || !needs_list || !polls_seeds {
             return false;
         }
-        let spread = self.fleet_size.and_then(|size| {
+        let window = self.fleet_size.and_then(|size| {
             let cost = ListCost {
                 nodes: size.nodes,
                 entries: size.objects,
@@ -104,42 +104,43 @@
             };
             cost.jitter_window()
         });
-        // If no seed answers, only a list of its own brings this node up to date in time.
-        let most = if self.seeds_answer {
+        // If no seed answers, only its own list brings this node up to date in time.
+        let max_window = if self.any_seed_answered {
             Duration::MAX
         } else {
             self.sources.relay.max_age()
         };
-        let spread = spread.map(|spread| spread.min(most));
+        let window = window.map(|window| window.min(max_window));
         let now = self.sources.clock.now();
-        let is_due = self.relist.is_due(now, spread, rand::rng().random());
+        let is_due = self.relist.is_due(now, window, rand::rng().random());
         if !is_due {
-            self.seeds_after = None;
+            self.seeds_paused_until = None;
         }
         !is_due
     }
 
     /// Whether a seed knows at least what this node knows, and heard from the store recently.
-    fn is_new_enough(&self, relay_answer: &RelayAnswer) -> bool {
-        self.sources.relay.is_fresh(relay_answer.age_ms) && relay_answer.revision >= self.newest
+    fn is_up_to_date(&self, relay_answer: &RelayAnswer) -> bool {
+        self.sources.relay.is_fresh(relay_answer.age_ms)
+            && relay_answer.revision >= self.newest_revision
     }
 
-    /// The update in a seed's answer to a question sent at `sent` (time since boot); `None` if
-    /// the answer is outdated.
-    fn update_of(&self, relay_answer: RelayAnswer, sent: Duration) -> Option<Update> {
+    /// The update in a seed's answer to a request sent at `sent` (time since boot); `None` if the
+    /// answer is outdated.
+    fn update_if_fresh(&self, relay_answer: RelayAnswer, sent: Duration) -> Option<Update> {
         let as_of = relay_answer.as_of_on_clock_of_asker(sent);
-        let is_new_enough = self.is_new_enough(&relay_answer);
-        is_new_enough.then(|| self.taken_from(relay_answer, as_of))
+        let is_up_to_date = self.is_up_to_date(&relay_answer);
+        is_up_to_date.then(|| self.to_update(relay_answer, as_of))
     }
 
     /// An outdated list of upstreams, for a node that has just started and knows none: without
     /// it, its callers would be refused until the store is back.
-    fn first_of(&self, relay_answer: RelayAnswer) -> Option<Update> {
-        let knows_none = self.kind == ObjectKind::Upstreams && self.newest == 0;
-        (knows_none && relay_answer.revision > 0).then(|| self.taken_from(relay_answer, None))
+    fn first_outdated_update(&self, relay_answer: RelayAnswer) -> Option<Update> {
+        let knows_none = self.kind == ObjectKind::Upstreams && self.newest_revision == 0;
+        (knows_none && relay_answer.revision > 0).then(|| self.to_update(relay_answer, None))
     }
 
-    fn taken_from(&self, relay_answer: RelayAnswer, as_of: Option<Duration>) -> Update {
+    fn to_update(&self, relay_answer: RelayAnswer, as_of: Option<Duration>) -> Update {
         Update {
             revision: relay_answer.revision,
             batch: ChangeBatch {
@@ -155,14 +156,14 @@
         }
     }
 
-    /// The answer of a seed, and the time since boot at which it was asked; `None` if it did not
-    /// answer or the question has changed.
-    async fn ask_seed(&mut self, seed: SocketAddr, name: &str) -> Option<(RelayAnswer, Duration)> {
+    /// The answer of a seed, and the time since boot at which it was polled; `None` if it did not
+    /// answer or the subscription has changed.
+    async fn poll_seed(&mut self, seed: SocketAddr, name: &str) -> Option<(RelayAnswer, Duration)> {
         let sent = self.sources.boot_clock.since_boot();
         let query = self.relay_request().to_query();
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = format!("{RELAY_PATH}{name}?{query}").parse().ok()?;
-        // Questions for one kind are enough to announce this node as a member.
+        // Requests for one kind are enough to announce this node as a member.
         if self.kind == ObjectKind::Duties
             && let Some(member) = self.sources.local_member.header()
         {
@@ -171,12 +172,12 @@
         let (connections, interest) = (&self.sources.connections, &self.sources.interest);
         let answer = tokio::select! {
             answer = connections.call(seed, request, POLL_TIMEOUT) => answer.ok()?,
-            // The seed may hold its answer for long, while the new question is urgent.
+            // The seed may hold its answer for long, while the new subscription is urgent.
             () = interest.changed(), if self.kind == ObjectKind::Upstreams => return None,
         };
         let relay_answer: RelayAnswer = serde_json::from_slice(answer.body()).ok()?;
-        self.seeds_answer = true;
-        // A seed counts only the nodes that ask it; nodes are spread evenly over the seeds.
+        self.any_seed_answered = true;
+        // A seed counts only the nodes that poll it; nodes are spread evenly over the seeds.
         let seeds = self.sources.seeds.current().polled.len();
         self.fleet_size = Some(FleetSize {
             nodes: relay_answer.nodes.saturating_mul(seeds),
