--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -1,4 +1,4 @@
-//! The node on a VM with a disk, which keeps nothing there.
+//! Node on a VM with a disk; it stores nothing there and only confirms evacuations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,25 +17,24 @@
 use crate::settings::NodeSettings;
 use crate::store::Store;
 
-/// Within this time a request to empty a VM is reported as done, once it is known.
-const REPORT_WITHIN: Duration = Duration::from_secs(1);
+/// Longest random delay before an evacuation is reported as done.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// Pause before a report that failed is tried again.
-const REPORT_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before the retry of a failed report.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Runs a node on a VM with a disk. No VM keeps anything there, so that requests to empty
-/// any of them are reported as done at once, be it another one: not every VM with a disk
-/// has a node.
+/// Runs a node on a VM with a disk. No VM stores anything on its disk, so the node reports the
+/// evacuation of any VM as done, not only of its own: not every VM with a disk has a node.
 ///
 /// # Errors
 ///
-/// Signals cannot be taken.
+/// The metrics address cannot be listened at, or no signal handler can be installed.
 pub async fn run_disk(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Result<(), NodeError> {
     let context = NodeContext::new(settings, dialect);
     serve_metrics(&context).await?;
     let store = context.store.clone();
     let journal = context.journal.clone();
-    let (asked, mut asking) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut requests) = tokio::sync::mpsc::unbounded_channel();
     context.follow(
         ObjectKind::Evacuations,
         FollowOptions::delayed,
@@ -43,16 +42,16 @@
             for object in news.changes.into_iter().flat_map(Change::into_objects) {
                 if !object.reported {
                     // The receiver lives as long as the process.
-                    drop(asked.send(object));
+                    drop(sender.send(object));
                 }
             }
         },
     );
     context.tasks.spawn(async move {
-        while let Some(object) = asking.recv().await {
-            // All such nodes hear of it at the same time, and one report is enough.
-            let spread = rand::rng().random_range(0.0..1.0);
-            tokio::time::sleep(REPORT_WITHIN.mul_f64(spread)).await;
+        while let Some(object) = requests.recv().await {
+            // All such nodes get the request at the same time, and one report is enough.
+            let jitter = rand::rng().random_range(0.0..1.0);
+            tokio::time::sleep(MAX_REPORT_DELAY.mul_f64(jitter)).await;
             report_evacuated(&store, &journal, &object.name).await;
         }
     });
@@ -62,7 +61,7 @@
     Ok(())
 }
 
-/// Reports a VM as empty, until the store has taken it.
+/// Reports the evacuation of a VM as done; retries until the store has accepted the report.
 async fn report_evacuated(store: &Store, journal: &Journal, name: &str) {
     loop {
         let outcome = match store.read(ObjectKind::Evacuations, name).await {
@@ -76,7 +75,7 @@
         };
         if let Err(error) = outcome {
             journal.event("evacuation_unreported", &[("cause", &error)]);
-            tokio::time::sleep(REPORT_AGAIN).await;
+            tokio::time::sleep(REPORT_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -1,4 +1,4 @@
-//! The gates of all services: where requests of one sort wait for their upstream.
+//! Gates of all services, at which requests wait for an upstream.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,7 +20,7 @@
     gate: Arc<Gate>,
 }
 
-/// One gate for each service, all with the same sort of dispatcher.
+/// One gate for each service, all with the same type of dispatcher.
 #[derive(Debug)]
 pub struct Gates {
     clock: Arc<dyn Clock>,
@@ -30,11 +30,11 @@
     /// estimated free capacity of shared upstreams.
     shared_seed: Option<u64>,
     /// Sorted by service.
-    named: Mutex<Vec<NamedGate>>,
+    by_service: Mutex<Vec<NamedGate>>,
 }
 
 impl Gates {
-    /// No gates yet, on a node in this availability zone.
+    /// Creates an empty set of gates for a node in this availability zone.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -46,7 +46,7 @@
             zone,
             dispatcher,
             shared_seed: None,
-            named: Mutex::default(),
+            by_service: Mutex::default(),
         }
     }
 
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Brings the gates up to what the fleet knows. No call waits at a gate of engines that
-    /// serve rollouts only, and there are thousands of them.
+    /// Updates the upstreams of the gates from the fleet. Services that get no calls are skipped:
+    /// engines that serve rollouts only can be thousands, and no call waits for them.
     pub fn update_upstreams(&self, fleet: &Fleet) {
         let (config, upstreams) = (fleet.config(), fleet.upstreams());
         for service in &config.services {
@@ -69,39 +69,48 @@
                 continue;
             }
             let gate = self.get_or_create(&service.name);
-            let of_service = || upstreams.iter().filter(|held| held.service == service.name);
-            let limit = of_service().map(|held| held.slots).max().unwrap_or(1);
-            let listed: Vec<_> = of_service().map(|held| self.listed(held)).collect();
-            gate.set_upstreams(&listed, limit, &EntryDemands::SINGLE_ENTRY);
+            let of_service = || {
+                upstreams
+                    .iter()
+                    .filter(|upstream| upstream.service == service.name)
+            };
+            let limit = of_service()
+                .map(|upstream| upstream.slots)
+                .max()
+                .unwrap_or(1);
+            let gate_upstreams: Vec<_> = of_service()
+                .map(|upstream| self.gate_upstream(upstream))
+                .collect();
+            gate.set_upstreams(&gate_upstreams, limit, &EntryDemands::SINGLE_ENTRY);
             gate.set_shared(self.shared_seed.filter(|_| config.shares_services()));
         }
     }
 
-    /// Lets time-bound decisions happen.
+    /// Runs decisions that depend on the time.
     pub fn tick(&self) {
         for named in self.lock().iter() {
             named.gate.tick();
         }
     }
 
-    /// The gate of a service.
+    /// The gate of a service, which is created if it does not exist.
     pub fn get_or_create(&self, service: &str) -> Arc<Gate> {
         let mut gates = self.lock();
         match gates.binary_search_by(|named| named.service.as_str().cmp(service)) {
-            Ok(at) => Arc::clone(&gates[at].gate),
-            Err(at) => {
+            Ok(index) => Arc::clone(&gates[index].gate),
+            Err(index) => {
                 let gate = Gate::new(Arc::clone(&self.clock), (self.dispatcher)());
                 let named = NamedGate {
                     service: service.to_owned(),
                     gate: Arc::clone(&gate),
                 };
-                gates.insert(at, named);
+                gates.insert(index, named);
                 gate
             }
         }
     }
 
-    fn listed(&self, upstream: &Upstream) -> GateUpstream {
+    fn gate_upstream(&self, upstream: &Upstream) -> GateUpstream {
         GateUpstream {
             address: upstream.address,
             start: upstream.instance.born_ms,
@@ -110,8 +119,10 @@
         }
     }
 
-    /// A panic in a decision leaves the others usable.
+    /// Ignores poisoning: a panic in one decision leaves the gates usable.
     fn lock(&self) -> MutexGuard<'_, Vec<NamedGate>> {
-        self.named.lock().unwrap_or_else(PoisonError::into_inner)
+        self.by_service
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,8 @@
-//! One VM of firweir on a platform that keeps what must last: live calls,
-//! submissions of trainers and orders of weights in one process, with no state of
-//! its own that outlives it.
+//! One node of firweir: live calls, submissions of trainers and weight orders in one process.
+//! All durable state is in the store of the platform that the node runs on.
 //!
-//! What the platform says is translated by an adapter ([`dialect::Dialect`]); all
-//! decisions, state and recovery are here and in `firweir-policy`.
+//! An adapter ([`dialect::Dialect`]) translates the platform's messages; all decisions, state
+//! and recovery are here and in `firweir-policy`.
 
 pub mod account;
 pub mod authentication;
--- a/crates/node/src/load_logger.rs
+++ b/crates/node/src/load_logger.rs
@@ -1,5 +1,5 @@
-//! What the process uses, beside what it does for others: a line for operators, so that the
-//! load of a role can be told from that of a node that only takes callers.
+//! Logs the memory and CPU time of the process together with its roles, so that operators see
+//! what a role costs compared with a node that only serves clients.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,55 +12,55 @@
 use crate::submission::homes::Homes;
 use crate::submission::records::NodeRef;
 
-/// Time between two lines.
-const EVERY: Duration = Duration::from_secs(10);
+/// Time between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where the system tells of the process's memory and processor time.
-const STATUS: &str = "/proc/self/status";
-const STAT: &str = "/proc/self/stat";
+/// Files in which Linux shows the memory and the CPU time of the process.
+const STATUS_PATH: &str = "/proc/self/status";
+const STAT_PATH: &str = "/proc/self/stat";
 
-/// Clock ticks a second in [`STAT`], on all systems of our kind.
+/// Clock ticks per second in [`STAT_PATH`] (`USER_HZ`), the same on all supported systems.
 const TICKS_PER_S: u64 = 100;
 
-/// Places of user and system time in [`STAT`], counted from behind the program's name.
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Indices of user and system time among the fields of [`STAT_PATH`] after the program's name.
+const USER_TIME_INDEX: usize = 11;
+const SYSTEM_TIME_INDEX: usize = 12;
 
-/// What tells which roles a node has.
+/// Logs the load and the roles of a node.
 #[derive(Debug, Clone)]
 pub struct LoadLogger {
     /// This node.
     pub this_node: NodeRef,
-    /// Whether it is a seed.
+    /// Tells whether it is a seed.
     pub seeds: Seeds,
-    /// Whose home it is.
+    /// Tells for how many models it is the home.
     pub homes: Homes,
-    /// Whether it gives orders.
+    /// Tells whether it holds the duty of giving orders.
     pub holder: DutyHolder,
-    /// What it knows.
+    /// Tells how many upstreams it knows.
     pub fleet: Arc<Fleet>,
-    /// Events.
+    /// Log that the lines are written to.
     pub journal: Journal,
 }
 
 impl LoadLogger {
-    /// Writes a line now and then, for as long as the process lives.
+    /// Writes a log line at each interval until the process ends.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(EVERY).await;
+            tokio::time::sleep(LOG_INTERVAL).await;
             self.write();
         }
     }
 
     fn write(&self) {
-        let settled = self.homes.assignments();
-        let own = settled
+        let assignments = self.homes.assignments();
+        let own = assignments
             .iter()
-            .filter(|held| held.address == self.this_node.address);
-        let memory_mb = std::fs::read_to_string(STATUS)
+            .filter(|home| home.address == self.this_node.address);
+        let memory_mb = std::fs::read_to_string(STATUS_PATH)
             .ok()
             .and_then(|status| peak_memory_mb(&status));
-        let cpu_ms = std::fs::read_to_string(STAT)
+        let cpu_ms = std::fs::read_to_string(STAT_PATH)
             .ok()
             .and_then(|stat| cpu_time_ms(&stat));
         self.journal.event(
@@ -70,7 +70,7 @@
                 ("seed", &self.seeds.current().is_seed),
                 ("orders", &self.holder.holds_duty()),
                 ("upstreams", &self.fleet.upstreams().len()),
-                // Zero where the system does not tell.
+                // Zero if the system does not show it.
                 ("peak_memory_mb", &memory_mb.unwrap_or_default()),
                 ("cpu_ms", &cpu_ms.unwrap_or_default()),
             ],
@@ -78,7 +78,7 @@
     }
 }
 
-/// Peak of the resident memory, out of [`STATUS`].
+/// Peak resident memory in MiB, from the text of `/proc/self/status`.
 #[must_use]
 pub fn peak_memory_mb(status: &str) -> Option<u64> {
     let line = status
@@ -88,11 +88,11 @@
     Some(kilobytes / 1_024)
 }
 
-/// User and system time, out of [`STAT`].
+/// Sum of user and system time in ms, from the text of `/proc/self/stat`.
 #[must_use]
 pub fn cpu_time_ms(stat: &str) -> Option<u64> {
-    // The name may hold anything, blanks and brackets included.
+    // The program's name may contain any character, blanks and brackets included.
     let (_, fields) = stat.rsplit_once(')')?;
-    let ticks = |place| -> Option<u64> { fields.split_whitespace().nth(place)?.parse().ok() };
-    Some((ticks(USER_TIME)? + ticks(SYSTEM_TIME)?) * 1_000 / TICKS_PER_S)
+    let ticks = |index| -> Option<u64> { fields.split_whitespace().nth(index)?.parse().ok() };
+    Some((ticks(USER_TIME_INDEX)? + ticks(SYSTEM_TIME_INDEX)?) * 1_000 / TICKS_PER_S)
 }
--- a/crates/node/src/mechanisms.rs
+++ b/crates/node/src/mechanisms.rs
@@ -1,8 +1,8 @@
-//! Mechanisms that a setting switches off, to measure what each is worth.
+//! Mechanisms that a setting can switch off, to measure the effect of each.
 
 use serde::Deserialize;
 
-/// One mechanism, by the name that it has in the settings.
+/// A mechanism; the settings name it in kebab case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
@@ -10,31 +10,32 @@
     Moves,
     /// The longest samples of a step start first.
     LongFirst,
-    /// One node accepts and runs all steps of a model.
+    /// One node, the home, accepts and runs all steps of a model.
     Homes,
-    /// A home is pinged while it accepts a step, and passed over if it is silent.
+    /// A home is pinged while it accepts a step; another node is used if it does not answer.
     HomePing,
-    /// Calls of the store go through another node where the store turns this one away.
+    /// Calls of the store go through another node if the store refuses this one or is
+    /// unreachable.
     Detour,
-    /// Nodes follow the store through a few seeds.
+    /// Nodes follow the store through a few seed nodes.
     Seeds,
-    /// Each model has two sets of engines, which get its versions by turns.
+    /// Each model has two sets of engines, which get its versions alternately.
     TwoSets,
-    /// Loads of weights at once follow how long loads take.
+    /// The number of concurrent weight loads depends on how long loads take.
     LoadLimit,
-    /// Texts that are not listed yet are saved for the next runner.
+    /// Texts that are not stored as results yet are saved for the next runner.
     SavedTexts,
-    /// Results wait for company before they are listed.
+    /// Results are written in batches, after a delay.
     PacedListing,
-    /// A node's calls of a service keep to one upstream.
+    /// A node's calls of a service prefer one upstream.
     CallAffinity,
     /// Slow and failing upstreams get no calls for a while.
     Outliers,
-    /// Reward calls are paced by the slack of their step, and leave room for callers.
+    /// Reward calls are paced by the slack of their step and leave capacity for live calls.
     PacedRewards,
-    /// A trainer's question waits for the last group that it waits for.
+    /// A trainer's request for results is held until the last group that it needs is complete.
     HeldAnswers,
-    /// Requests wait for a node's first configuration.
+    /// Requests wait until a node that has just started has a configuration.
     FirstConfig,
     /// Calls of a service that several accounts share start only where an upstream is estimated to
     /// have a free slot.
--- a/crates/node/src/store_fallback.rs
+++ b/crates/node/src/store_fallback.rs
@@ -1,13 +1,13 @@
-//! A way to the platform's store through another node.
+//! Sends calls of the platform's store through another node when this node cannot reach it.
 //!
-//! **Load:** the store turns single nodes away, or the path to it is cut for them,
-//! while it serves all others. **Without it:** such a node lists no results of the steps
-//! that it runs, hears of no configuration and cannot order weights, for as long as that
-//! lasts; its trainers wait. **How:** a call that fails is made through a seed, and for a
-//! while all calls are. Seeds may be cut off too: one that does not answer is left alone
-//! for a while, whatever other calls do through other seeds. If a seed is turned away as
-//! well, the store is taken for down. Every write has a condition and is settled by its
-//! writer, so one that is made twice does nothing.
+//! The store may refuse single nodes, or the path to it may be cut for them, while it serves
+//! all others. Without a fallback such a node stores no results of the steps that it runs,
+//! gets no configuration and cannot order weights until that is over, and its trainers wait.
+//!
+//! A call that fails is repeated through a seed, and for a while all calls take that way. Seeds
+//! may be cut off too: one that does not answer is not tried for a while, while calls through
+//! other seeds go on. If the store refuses a seed as well, it is assumed to be down. Every write
+//! is conditional and its outcome is confirmed by its writer, so a repeated write does nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,49 +20,49 @@
 use http::Request;
 use http::Uri;
 
-/// Begin of the paths at which a node makes calls of the store for others.
+/// Prefix of the paths at which a node makes calls of the store for other nodes.
 pub const PEER_STORE_PATH: &str = "/peer/store";
 
-/// Calls take the detour for this long, then one call tries the store again: if it finds
-/// the path still cut that costs its time limit.
-const DETOUR_FOR: Duration = Duration::from_secs(3);
+/// Calls go through another node for this long, then one call tries the store directly. If the
+/// path is still cut, that call waits for its whole timeout first.
+const FALLBACK_TIME: Duration = Duration::from_secs(3);
 
-/// While one call tries the store again, the others still take the detour: its time limit
-/// of a second, and a try through a node behind it.
-const TRIAL: Duration = Duration::from_millis(1_300);
+/// While one call tries the store directly, the others go through the node for this much
+/// longer: the timeout of a direct call, one second, and a call through the node after it.
+const DIRECT_TRY_TIME: Duration = Duration::from_millis(1_300);
 
-/// A node that failed is not tried for this long. What cuts it off or turns it away takes
-/// seconds, and each try costs a call or a second.
-const LEFT_ALONE_FOR: Duration = Duration::from_millis(1_500);
+/// A node that failed is not tried for this long. It stays cut off or refused for seconds, and
+/// each try costs a call or a second.
+const FAILED_NODE_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// How a call through a node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FallbackFailure {
     /// The node did not answer.
     NoAnswer,
-    /// The store turns the node away too.
+    /// The store refused the node as well.
     StoreRefused,
 }
 
 #[derive(Debug, Default)]
 struct State {
     nodes: Vec<SocketAddr>,
-    /// Calls go through this node until then.
-    through: Option<(SocketAddr, Instant)>,
-    /// Nodes that are not tried before then.
-    left_alone: Vec<(SocketAddr, Instant)>,
-    /// Node to try next.
-    next: usize,
+    /// Node that calls go through, and until when.
+    active: Option<(SocketAddr, Instant)>,
+    /// Failed nodes, and the time before which they are not tried.
+    paused: Vec<(SocketAddr, Instant)>,
+    /// Index in `nodes` of the last node that was picked.
+    last_picked: usize,
 }
 
-/// Which way calls of the store take; cheap to clone.
+/// Decides whether calls of the store go directly or through another node; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct StoreFallback {
     state: Arc<Mutex<State>>,
 }
 
 impl StoreFallback {
-    /// Detours through these nodes.
+    /// Creates a fallback through these nodes.
     #[must_use]
     pub fn new(nodes: Vec<SocketAddr>) -> Self {
         let fallback = Self::default();
@@ -70,69 +70,69 @@
         fallback
     }
 
-    /// Other nodes from now on.
+    /// Replaces the nodes that calls may go through.
     pub fn set_nodes(&self, nodes: Vec<SocketAddr>) {
         self.lock().nodes = nodes;
     }
 
-    /// The node that this call goes through, if any.
+    /// The node that this call goes through; `None` if it goes directly to the store.
     #[must_use]
     pub fn current(&self, now: Instant) -> Option<SocketAddr> {
         let mut state = self.lock();
-        let (node, until) = state.through?;
+        let (node, until) = state.active?;
         if until > now {
             return Some(node);
         }
-        state.through = Some((node, now + TRIAL));
+        state.active = Some((node, now + DIRECT_TRY_TIME));
         None
     }
 
-    /// A node to try after the store itself has failed: the one that worked last, if any.
+    /// A node to try after a direct call has failed: the one that answered last, or else the
+    /// next one that is not paused.
     #[must_use]
     pub fn next_node(&self, now: Instant) -> Option<SocketAddr> {
         let mut state = self.lock();
-        state.left_alone.retain(|(_, until)| *until > now);
-        let is_left_alone =
-            |node: &SocketAddr| state.left_alone.iter().any(|(held, _)| held == node);
-        let last_successful = state.through.map(|(node, _)| node);
-        if let Some(node) = last_successful.filter(|node| !is_left_alone(node)) {
+        state.paused.retain(|(_, until)| *until > now);
+        let is_paused = |node: &SocketAddr| state.paused.iter().any(|(paused, _)| paused == node);
+        let last_successful = state.active.map(|(node, _)| node);
+        if let Some(node) = last_successful.filter(|node| !is_paused(node)) {
             return Some(node);
         }
         let count = state.nodes.len();
-        let mut places = (1..=count).map(|step| (state.next + step) % count);
-        let place = places.find(|place| !is_left_alone(&state.nodes[*place]))?;
-        state.next = place;
-        Some(state.nodes[place])
+        let mut indices = (1..=count).map(|offset| (state.last_picked + offset) % count);
+        let index = indices.find(|index| !is_paused(&state.nodes[*index]))?;
+        state.last_picked = index;
+        Some(state.nodes[index])
     }
 
-    /// A call through this node was answered.
+    /// Records that a call through this node was answered.
     pub fn record_success(&self, now: Instant, node: SocketAddr) {
         let mut state = self.lock();
         if state
-            .through
-            .is_none_or(|(held, until)| held != node || until <= now + TRIAL)
+            .active
+            .is_none_or(|(active, until)| active != node || until <= now + DIRECT_TRY_TIME)
         {
-            state.through = Some((node, now + DETOUR_FOR));
+            state.active = Some((node, now + FALLBACK_TIME));
         }
     }
 
-    /// A call through this node failed.
+    /// Records that a call through this node failed.
     pub fn record_failure(&self, now: Instant, node: SocketAddr, failure: FallbackFailure) {
         let mut state = self.lock();
-        let until = now + LEFT_ALONE_FOR;
+        let until = now + FAILED_NODE_PAUSE;
         match failure {
-            FallbackFailure::NoAnswer => state.left_alone.push((node, until)),
+            FallbackFailure::NoAnswer => state.paused.push((node, until)),
             FallbackFailure::StoreRefused => {
                 let all: Vec<_> = state.nodes.iter().map(|node| (*node, until)).collect();
-                state.left_alone.extend(all);
+                state.paused.extend(all);
             }
         }
-        state.through = state.through.filter(|(held, _)| *held != node);
+        state.active = state.active.filter(|(active, _)| *active != node);
     }
 
-    /// The store itself answered.
+    /// Records that the store answered a direct call; the next calls go directly.
     pub fn record_direct_success(&self) {
-        self.lock().through = None;
+        self.lock().active = None;
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Turns a call of the store into one for a node that makes it.
+/// Changes the URI of a call of the store into that of a node which forwards it.
 pub fn to_peer_uri<B>(request: &mut Request<B>) {
     let path = request
         .uri()
@@ -151,7 +151,7 @@
     }
 }
 
-/// The path of the call that a node is asked to make.
+/// The store's URI in a call that another node wants forwarded; `None` for other calls.
 #[must_use]
 pub fn store_uri_from_peer(uri: &Uri) -> Option<Uri> {
     let path = uri
--- a/crates/node/tests/load_logger.rs
+++ b/crates/node/tests/load_logger.rs
@@ -1,4 +1,4 @@
-//! What the system tells of a process.
+//! Tests of reading a process's memory and CPU time from procfs.
 
 use firweir_node::load_logger::cpu_time_ms;
 use firweir_node::load_logger::peak_memory_mb;
--- a/crates/node/tests/store_fallback.rs
+++ b/crates/node/tests/store_fallback.rs
@@ -1,4 +1,4 @@
-//! Which way calls of the store take on a node that it turns away.
+//! Tests of the way that calls of the store take on a node which the store refuses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     start + Duration::from_millis(ms)
 }
 
-/// Guards against a failure through one seed that makes all calls forget the seed that works.
+/// A failure through one seed must not make calls give up another seed that works.
 #[test]
 fn a_failure_through_one_node_leaves_the_way_through_another() {
     let start = Instant::now();
@@ -41,7 +41,7 @@
         "this one tries"
     );
     assert_eq!(fallback.current(after(start, 3_200)), Some(through));
-    // The path is still cut: the call goes the way that worked.
+    // The path is still cut: the call goes through the node that answered.
     assert_eq!(fallback.next_node(after(start, 4_100)), Some(through));
     fallback.record_success(after(start, 4_110), through);
     assert_eq!(fallback.current(after(start, 6_000)), Some(through));
