--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -1,8 +1,9 @@
-//! Which nodes a seed knows, what their VMs can bear, and the home that it names for a model.
+//! The nodes that a seed knows, with the capacities of their VMs, and the choice of homes for
+//! models among them.
 //!
-//! A node that follows a seed asks it about once a second. With one of these questions it tells
-//! what its VM can bear and whether it takes steps, so that a seed knows the nodes that ask it
-//! without a call of its own. Each seed knows other nodes, and whoever needs a home asks all.
+//! A node that follows a seed polls it about once a second. In one of these requests it announces
+//! the capacity of its VM and whether it accepts steps, so that a seed learns of the nodes without
+//! extra calls. Each seed knows different nodes; a node that needs a home asks all seeds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,54 +28,54 @@
 use crate::relay::POLL_TIMEOUT;
 use crate::submission::records::NodeRef;
 
-/// Path at which a seed names a home.
+/// Path at which a seed offers a home.
 pub const HOME_PATH: &str = "/peer/home";
 
-/// Header in which a node tells what it is.
+/// Header in which a node announces itself as a [`Member`].
 pub const MEMBER_HEADER: HeaderName = HeaderName::from_static("x-firweir-member");
 
-/// A node that has not asked for this long may be gone: two questions of its own are late.
-const SILENT_AFTER: Duration = Duration::from_millis(2 * POLL_TIMEOUT.as_millis() as u64);
+/// A node that has not polled for this long may be gone: it has missed two polls.
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(2 * POLL_TIMEOUT.as_millis() as u64);
 
-/// A home that was named counts as one for this long: until the list of duties shows it.
-const NAMED_FOR: Duration = Duration::from_secs(5);
+/// An offered home counts as one for this long, until it appears in the list of duties.
+const OFFER_VALID_FOR: Duration = Duration::from_secs(5);
 
-/// What a node tells seeds of itself.
+/// What a node announces of itself to seeds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub runner: NodeRef,
-    /// What its VM can bear: parts of [`crate::settings::REFERENCE_VM`].
+    /// Capacity of its VM, as a fraction of [`crate::settings::REFERENCE_VM`].
     pub capacity: f64,
     /// It knows its configuration and does not drain.
     pub takes_steps: bool,
 }
 
-/// What a node asks a seed that needs a home for a model.
+/// Request for a home of a model, sent to a seed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeQuestion {
     /// The model.
     pub model: String,
-    /// A node that did not answer.
+    /// A node that must not be offered because it did not answer.
     #[serde(rename = "but")]
     pub excluded: Option<SocketAddr>,
 }
 
-/// The home that a seed names, and what it is worth beside those that other seeds name.
+/// The home that a seed offers, with its score for comparison with the offers of other seeds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HomeOffer {
     /// The node.
     pub home: NodeRef,
-    /// Part of its VM that the model would get.
+    /// Capacity that the model would get, as a fraction of [`crate::settings::REFERENCE_VM`].
     #[serde(rename = "share")]
     pub capacity_share: f64,
-    /// Tells equal offers apart.
+    /// Orders offers with equal shares.
     #[serde(rename = "order")]
     pub tie_breaker: u64,
 }
 
 impl HomeOffer {
-    /// What the home is worth to the model.
+    /// Score of the home for the model.
     #[must_use]
     pub const fn score(&self) -> HomeScore {
         HomeScore {
@@ -84,7 +85,7 @@
     }
 }
 
-/// The home of a model, as the list of duties shows it.
+/// The home of a model according to the list of duties.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HomeAssignment {
     /// The model.
@@ -93,7 +94,7 @@
     pub address: SocketAddr,
 }
 
-/// What this node tells of itself; cheap to clone.
+/// What this node announces of itself; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LocalMember {
     runner: Option<NodeRef>,
@@ -102,7 +103,8 @@
 }
 
 impl LocalMember {
-    /// A node that takes no steps yet, or never if it takes no other nodes.
+    /// A node that accepts no steps yet. `runner` is `None` if it accepts no requests from other
+    /// nodes; then it never announces itself.
     #[must_use]
     pub fn new(runner: Option<NodeRef>, capacity: f64) -> Self {
         Self {
@@ -112,12 +114,12 @@
         }
     }
 
-    /// Whether it takes steps from now on.
+    /// Sets whether this node accepts steps.
     pub fn set_takes_steps(&self, takes_steps: bool) {
         self.takes_steps.store(takes_steps, Ordering::Relaxed);
     }
 
-    /// What a seed is told; `None` of a node that takes no other nodes.
+    /// Value of [`MEMBER_HEADER`]; `None` if this node accepts no requests from other nodes.
     #[must_use]
     pub fn header(&self) -> Option<HeaderValue> {
         let member = Member {
@@ -131,82 +133,82 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct KnownMember {
     member: Member,
     at: Instant,
 }
 
-/// A home that was named and may not be in the list of duties yet.
+/// A home that was offered and may not be in the list of duties yet.
 #[derive(Debug)]
-struct Named {
+struct PendingHome {
     model: String,
     address: SocketAddr,
-    /// The home that it is to replace.
-    before: Option<SocketAddr>,
+    /// The previous home, which it replaces.
+    replaces: Option<SocketAddr>,
     at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct State {
     /// Sorted by address.
-    members: Vec<Heard>,
-    named: Vec<Named>,
+    members: Vec<KnownMember>,
+    pending: Vec<PendingHome>,
 }
 
-/// The nodes that ask this one.
+/// The nodes that poll this one.
 #[derive(Debug, Default)]
 pub struct Roster {
     state: Mutex<State>,
 }
 
 impl Roster {
-    /// A node has told what it is.
+    /// Records the announcement of a node.
     pub fn record_member(&self, now: Instant, member: Member) {
         let mut state = self.lock();
         let address = member.runner.address;
-        let heard = Heard { member, at: now };
+        let known = KnownMember { member, at: now };
         let members = &mut state.members;
-        match members.binary_search_by_key(&address, |held| held.member.runner.address) {
-            Ok(at) => members[at] = heard,
-            Err(at) => members.insert(at, heard),
+        match members.binary_search_by_key(&address, |other| other.member.runner.address) {
+            Ok(at) => members[at] = known,
+            Err(at) => members.insert(at, known),
         }
     }
 
-    /// The best home for a model that is known here; the same one if it was named a moment ago.
+    /// The best known home for a model; the same as before if one was offered recently.
     #[must_use]
     pub fn home_for(
         &self,
         now: Instant,
         question: &HomeQuestion,
-        settled: &[HomeAssignment],
+        assignments: &[HomeAssignment],
     ) -> Option<HomeOffer> {
         let mut state = self.lock();
-        state.forget(now, settled);
+        state.forget_expired(now, assignments);
         state.forget_member(question.excluded);
-        let named = state.take_named(&question.model);
-        let candidates = state.candidates(settled, named);
-        let (best, worth) = best_home(xxh3_64(question.model.as_bytes()), &candidates)?;
+        let pending = state.take_pending(&question.model);
+        let candidates = state.candidates(assignments, pending);
+        let (best, score) = best_home(xxh3_64(question.model.as_bytes()), &candidates)?;
         let home = state.members[best.0 as usize].member.runner.clone();
-        state.named.push(Named {
+        state.pending.push(PendingHome {
             model: question.model.clone(),
             address: home.address,
-            before: question.excluded,
+            replaces: question.excluded,
             at: now,
         });
         Some(HomeOffer {
             home,
-            capacity_share: worth.capacity_share,
-            tie_breaker: worth.tie_breaker,
+            capacity_share: score.capacity_share,
+            tie_breaker: score.tie_breaker,
         })
     }
 
-    /// Number of nodes that have asked, including some that may have stopped since.
+    /// Number of nodes that have polled this one, including some that may have stopped since.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().members.len()
     }
 
-    /// Whether no node has asked yet.
+    /// Whether no node is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -218,28 +220,35 @@
 }
 
 impl State {
-    fn forget(&mut self, now: Instant, settled: &[HomeAssignment]) {
+    fn forget_expired(&mut self, now: Instant, assignments: &[HomeAssignment]) {
         self.members
-            .retain(|held| now.duration_since(held.at) < SILENT_AFTER);
-        // The model may have gone to a home that another seed has named.
-        let is_settled = |named: &Named| {
-            let mut settled = settled.iter();
-            settled.any(|held| held.model == named.model && Some(held.address) != named.before)
+            .retain(|known| now.duration_since(known.at) < MEMBER_TIMEOUT);
+        // The model may have been assigned to a home that another seed offered.
+        let is_assigned = |pending: &PendingHome| {
+            let mut assignments = assignments.iter();
+            assignments.any(|assignment| {
+                assignment.model == pending.model && Some(assignment.address) != pending.replaces
+            })
         };
-        self.named
-            .retain(|held| now.duration_since(held.at) < NAMED_FOR && !is_settled(held));
+        self.pending.retain(|pending| {
+            now.duration_since(pending.at) < OFFER_VALID_FOR && !is_assigned(pending)
+        });
     }
 
-    /// One that is there after all is known again by its next question.
+    /// Forgets a node; if it is still alive, its next poll adds it again.
     fn forget_member(&mut self, address: Option<SocketAddr>) {
         self.members
-            .retain(|held| Some(held.member.runner.address) != address);
+            .retain(|known| Some(known.member.runner.address) != address);
     }
 
-    /// The home that was named for a model a moment ago, which is named anew.
-    fn take_named(&mut self, model: &str) -> Option<SocketAddr> {
-        let at = self.named.iter().position(|held| held.model == model)?;
-        let address = self.named.swap_remove(at).address;
+    /// Removes the home that was recently offered for a model, and returns it if it still accepts
+    /// steps.
+    fn take_pending(&mut self, model: &str) -> Option<SocketAddr> {
+        let at = self
+            .pending
+            .iter()
+            .position(|pending| pending.model == model)?;
+        let address = self.pending.swap_remove(at).address;
         self.member_at(address)
             .is_some_and(|member| member.takes_steps)
             .then_some(address)
@@ -247,35 +256,35 @@
 
     fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         let members = &self.members;
-        let found = members.binary_search_by_key(&address, |held| held.member.runner.address);
+        let found = members.binary_search_by_key(&address, |known| known.member.runner.address);
         found.ok().map(|at| &members[at].member)
     }
 
-    /// Nodes that take steps; `only` one of them if it is given.
+    /// Nodes that accept steps, or just `only` if it is given.
     fn candidates(
         &self,
-        settled: &[HomeAssignment],
+        assignments: &[HomeAssignment],
         only: Option<SocketAddr>,
     ) -> Vec<HomeCandidate> {
-        let settled = settled.iter().map(|held| held.address);
-        let named = self.named.iter().map(|held| held.address);
-        let mut homes: Vec<SocketAddr> = settled.chain(named).collect();
+        let assignments = assignments.iter().map(|assignment| assignment.address);
+        let pending = self.pending.iter().map(|pending| pending.address);
+        let mut homes: Vec<SocketAddr> = assignments.chain(pending).collect();
         homes.sort_unstable();
         let homes_at = |address: SocketAddr| {
-            let first = homes.partition_point(|held| *held < address);
-            homes[first..].partition_point(|held| *held == address)
+            let first = homes.partition_point(|home| *home < address);
+            homes[first..].partition_point(|home| *home == address)
         };
         let members = self.members.iter().enumerate();
-        let usable = members.filter(|(_, heard)| {
-            let member = &heard.member;
+        let usable = members.filter(|(_, known)| {
+            let member = &known.member;
             member.takes_steps && only.is_none_or(|only| only == member.runner.address)
         });
-        let candidate = |(at, heard): (usize, &Heard)| {
-            let address = heard.member.runner.address;
+        let candidate = |(at, known): (usize, &KnownMember)| {
+            let address = known.member.runner.address;
             HomeCandidate {
                 node: NodeKey(at as u32),
                 hash: xxh3_64(address.to_string().as_bytes()),
-                capacity: heard.member.capacity,
+                capacity: known.member.capacity,
                 models: homes_at(address) as u32,
             }
         };
