--- a/crates/node/src/interest.rs
+++ b/crates/node/src/interest.rs
@@ -1,12 +1,13 @@
-//! What a node has to know of the platform's upstreams.
+//! Which entries of the platform's list of upstreams a node subscribes to.
 //!
-//! **Load:** each load of weights changes an engine's entry: hundreds of entries a second.
-//! **Without it:** every node gets every change; most of a
-//! small VM's processor time goes into entries that it never uses. **How:** a node that sends
-//! live calls follows, of the services to which its configuration's routes lead, which
-//! upstreams there are, where they answer and whether they leave. One that drafts follows the
-//! engines besides that its models choose among ([`firweir_policy::pool`]), which are all of a
-//! small fleet. One that orders weights follows all of every entry, and so do seeds.
+//! Each load of weights changes an engine's entry, which makes hundreds of changes per second. If
+//! every node received every change, a small VM would spend most of its CPU time on entries that
+//! it never uses. A node that sends live calls therefore follows only the upstreams of the
+//! services to which its routes lead, and of those only changes that matter for routing: new and
+//! removed upstreams, their addresses and whether they are leaving. A node that drafts also
+//! follows the engines that its models choose among ([`firweir_policy::pool`]); in a small fleet
+//! these are all engines. A node that orders weights follows every change of every entry, and so
+//! do seeds.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -22,26 +23,25 @@
 use crate::model::RouteKind;
 use crate::relay::hash_of_name;
 
-/// A model that was drafted is followed for this long after: a trainer asks for a step every
-/// few seconds, and engines take a while to come.
-const KEEPS_MODEL: Duration = Duration::from_secs(10);
+/// A node still follows a model's engines for this long after drafting it: a trainer submits a
+/// step every few seconds, and fetching the engines anew takes a while.
+const MODEL_RETENTION: Duration = Duration::from_secs(10);
 
-/// What a node wants to know of upstreams.
+/// The entries of the list of upstreams that a node receives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subscription {
     /// Every change of every entry.
     All,
-    /// Some of the entries.
+    /// Some entries.
     Filtered(UpstreamFilter),
 }
 
-/// Some entries of the list of upstreams.
+/// Selects entries of the list of upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UpstreamFilter {
-    /// Services of which it has to be known where their upstreams are, by the hashes of their
-    /// names; sorted.
+    /// Hashes of the names of services whose upstreams are selected for routing changes; sorted.
     pub services: Vec<u64>,
-    /// Engines whose every change is wanted; sorted by model.
+    /// Engines that are selected for all changes; sorted by model.
     pub slices: Vec<ModelSlice>,
 }
 
@@ -50,7 +50,7 @@
 pub struct ModelSlice {
     /// Hash of the model's name.
     pub model: u64,
-    /// Its part of all engines.
+    /// Its subset of all engines.
     pub slice: FleetSlice,
 }
 
@@ -59,20 +59,20 @@
 pub struct DraftedModel {
     /// Hash of the model's name.
     pub model: u64,
-    /// Engines that its steps need.
+    /// Number of engines that its steps need.
     pub engines: usize,
 }
 
-/// What one node wants to know; its parts tell what they do.
+/// The subscription of one node, derived from what its components report.
 #[derive(Debug, Default)]
 pub struct Interest {
     state: Mutex<State>,
     changed: Notify,
 }
 
-/// A model that is drafted, or was a while ago.
+/// A model that is drafted, or was recently.
 #[derive(Debug, Clone, Copy)]
-struct Drafted {
+struct TrackedModel {
     model: DraftedModel,
     at: Instant,
     slice: FleetSlice,
@@ -81,16 +81,16 @@
 #[derive(Debug, Default)]
 struct State {
     /// Sorted by model.
-    drafted: Vec<Drafted>,
-    /// Entries of the whole list, as far as a seed told.
-    listed: usize,
-    /// It follows the store itself.
+    tracked_models: Vec<TrackedModel>,
+    /// Number of entries in the full list, as reported by the store or a seed.
+    total_upstreams: usize,
+    /// The node follows the store directly.
     follows_store: bool,
-    /// It may order weights.
-    orders: bool,
+    /// The node may order weights.
+    may_order_weights: bool,
     /// Sorted.
     services: Vec<u64>,
-    /// What came of it.
+    /// Result of all the above.
     subscription: Subscription,
 }
 
@@ -101,13 +101,13 @@
 }
 
 impl Interest {
-    /// What is wanted now.
+    /// The current subscription.
     #[must_use]
     pub fn subscription(&self) -> Subscription {
         self.lock().subscription.clone()
     }
 
-    /// Whether every change of every entry is wanted.
+    /// Whether the subscription covers every change of every entry.
     #[must_use]
     pub fn wants_all(&self) -> bool {
         self.lock().subscription == Subscription::All
@@ -119,12 +119,12 @@
         match &self.lock().subscription {
             Subscription::All => None,
             Subscription::Filtered(filter) => {
-                Some(filter.slices.iter().map(|held| held.model).collect())
+                Some(filter.slices.iter().map(|slice| slice.model).collect())
             }
         }
     }
 
-    /// Live calls may go to the services of this configuration.
+    /// Subscribes to the services that live calls may use with this configuration.
     pub fn set_config(&self, config: &Config) {
         let live = config.routes.iter();
         let live = live.filter(|route| route.kind != RouteKind::Rollout);
@@ -136,54 +136,55 @@
         services.dedup();
         let mut state = self.lock();
         state.services = services;
-        self.settle(state);
+        self.publish(state);
     }
 
-    /// Whether the node follows the store itself, which shows everything.
+    /// Sets whether the node follows the store directly, which reports everything.
     pub fn set_follows_store(&self, follows_store: bool) {
         let mut state = self.lock();
         state.follows_store = follows_store;
-        self.settle(state);
+        self.publish(state);
     }
 
-    /// The whole list of upstreams has so many entries.
-    pub fn set_total_upstreams(&self, listed: usize) {
+    /// Sets the number of entries in the full list of upstreams.
+    pub fn set_total_upstreams(&self, total_upstreams: usize) {
         let mut state = self.lock();
-        state.listed = listed;
+        state.total_upstreams = total_upstreams;
         state.choose_slices();
-        self.settle(state);
+        self.publish(state);
     }
 
-    /// The models that the node drafts now.
+    /// Adds the models that the node drafts now, and drops those that it no longer drafts after
+    /// [`MODEL_RETENTION`].
     pub fn set_drafted_models(&self, now: Instant, models: &[DraftedModel]) {
         let mut state = self.lock();
         state
-            .drafted
-            .retain(|held| now.duration_since(held.at) < KEEPS_MODEL);
+            .tracked_models
+            .retain(|tracked| now.duration_since(tracked.at) < MODEL_RETENTION);
         for model in models {
-            state.draft(now, *model);
+            state.track(now, *model);
         }
-        self.settle(state);
+        self.publish(state);
     }
 
-    /// Whether the node may order weights now.
-    pub fn set_may_order_weights(&self, orders: bool) {
+    /// Sets whether the node may order weights.
+    pub fn set_may_order_weights(&self, may_order_weights: bool) {
         let mut state = self.lock();
-        state.orders = orders;
-        self.settle(state);
+        state.may_order_weights = may_order_weights;
+        self.publish(state);
     }
 
-    /// Waits until something else is wanted.
+    /// Waits until the subscription changes.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Waits until engines are followed, which only nodes do that draft, order or are seeds.
+    /// Waits until the node follows engines. Only nodes that draft, order weights or are seeds do.
     pub async fn wait_until_engines_followed(&self) {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Before the look, so that a change in between is not missed.
+            // Registers before the check, so that a change in between is not missed.
             changed.as_mut().enable();
             if self.models().is_none_or(|models| !models.is_empty()) {
                 return;
@@ -192,8 +193,8 @@
         }
     }
 
-    fn settle(&self, mut state: MutexGuard<'_, State>) {
-        let subscription = state.weigh();
+    fn publish(&self, mut state: MutexGuard<'_, State>) {
+        let subscription = state.derive_subscription();
         if state.subscription != subscription {
             state.subscription = subscription;
             drop(state);
@@ -207,21 +208,21 @@
 }
 
 impl State {
-    fn draft(&mut self, now: Instant, model: DraftedModel) {
-        let drafted = &mut self.drafted;
-        match drafted.binary_search_by_key(&model.model, |held| held.model.model) {
+    fn track(&mut self, now: Instant, model: DraftedModel) {
+        let tracked_models = &mut self.tracked_models;
+        match tracked_models.binary_search_by_key(&model.model, |tracked| tracked.model.model) {
             Ok(at) => {
-                drafted[at].at = now;
-                if drafted[at].model != model {
-                    drafted[at].model = model;
+                tracked_models[at].at = now;
+                if tracked_models[at].model != model {
+                    tracked_models[at].model = model;
                     self.choose_slices();
                 }
             }
             Err(at) => {
-                let slice = pool_slice(self.listed, model.engines);
-                drafted.insert(
+                let slice = pool_slice(self.total_upstreams, model.engines);
+                tracked_models.insert(
                     at,
-                    Drafted {
+                    TrackedModel {
                         model,
                         at: now,
                         slice,
@@ -231,27 +232,30 @@
         }
     }
 
-    /// A slice that is one step narrower than it would be chosen now is kept: each change
-    /// brings all of its entries again.
+    /// Adjusts the slices to the size of the fleet. A slice that is one step narrower than needed
+    /// is kept, because each change of a slice transfers all of its entries again.
     fn choose_slices(&mut self) {
-        for held in &mut self.drafted {
-            let chosen = pool_slice(self.listed, held.model.engines);
-            if held.slice.leading_zeros > chosen.leading_zeros + 1
+        for tracked in &mut self.tracked_models {
+            let chosen = pool_slice(self.total_upstreams, tracked.model.engines);
+            if tracked.slice.leading_zeros > chosen.leading_zeros + 1
                 || chosen == FleetSlice::default()
             {
-                held.slice = chosen;
+                tracked.slice = chosen;
             }
         }
     }
 
-    fn weigh(&self) -> Subscription {
-        let whole = |held: &Drafted| held.slice == FleetSlice::default();
-        if self.follows_store || self.orders || self.drafted.iter().any(whole) {
+    fn derive_subscription(&self) -> Subscription {
+        let covers_fleet = |tracked: &TrackedModel| tracked.slice == FleetSlice::default();
+        if self.follows_store
+            || self.may_order_weights
+            || self.tracked_models.iter().any(covers_fleet)
+        {
             return Subscription::All;
         }
-        let slices = self.drafted.iter().map(|held| ModelSlice {
-            model: held.model.model,
-            slice: held.slice,
+        let slices = self.tracked_models.iter().map(|tracked| ModelSlice {
+            model: tracked.model.model,
+            slice: tracked.slice,
         });
         Subscription::Filtered(UpstreamFilter {
             services: self.services.clone(),
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -1,10 +1,9 @@
-//! Which follower asks a store that is away.
+//! Lets a single follower probe an unavailable store.
 //!
-//! **Load:** the store turns calls away for seconds, and each node follows four kinds of
-//! its objects. **Without it:** all four ask again and again, and each call that is turned away
-//! costs. **How:** the first that was turned away asks
-//! for all; the others wait until it gets an answer. They look for themselves after
-//! [`LOOK_AFTER`], since a path may fail for one kind of call only.
+//! The store may reject calls for seconds, and each node follows four kinds of its objects. If all
+//! four followers retried on their own, each rejected call would be billed. Instead, the first
+//! follower that was rejected probes the store, and the others wait until it gets an answer. After
+//! [`MAX_PROBE_WAIT`] they try themselves, since the store may fail for one kind of call only.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,11 +16,12 @@
 use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 
-/// A follower waits this long for the one that asks. With the pause before its call it stays
-/// below the time after an outage from which on changes have to be in force in time again.
-const LOOK_AFTER: Duration = Duration::from_millis(1_500);
+/// How long a follower waits for the probing one. Together with the pause before its own call
+/// this stays below the recovery time after an outage that is allowed before changes have to come
+/// into force in time again.
+const MAX_PROBE_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Whether the store is away, as the followers of one node know it; cheap to clone.
+/// Whether the store is unavailable, shared by the followers of one node; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Outage {
     inner: Arc<Inner>,
@@ -29,48 +29,48 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// The kind whose follower asks; `None` while the store answers.
-    asking: Mutex<Option<ObjectKind>>,
+    /// The kind whose follower probes the store; `None` while the store answers.
+    probing: Mutex<Option<ObjectKind>>,
     over: Notify,
 }
 
 impl Outage {
-    /// A call for this kind failed. Only an answer that says that nothing was done, or no
-    /// connection, tells of the store; any other may be this call's own trouble.
+    /// Records that a call for this kind failed. Only a rejection, after which nothing was done,
+    /// or a failed connection indicates an outage; any other error may concern this call only.
     pub fn record_failure(&self, kind: ObjectKind, error: &StoreError) {
         if matches!(error, StoreError::Refused(_) | StoreError::Unreachable) {
             self.lock().get_or_insert(kind);
         }
     }
 
-    /// A call was answered.
+    /// Records that the store answered a call, which ends an outage.
     pub fn record_answer(&self) {
         if self.lock().take().is_some() {
             self.inner.over.notify_waiters();
         }
     }
 
-    /// The store turns this node away.
+    /// Whether the store rejects this node's calls.
     #[must_use]
     pub fn is_ongoing(&self) -> bool {
         self.lock().is_some()
     }
 
-    /// Waits while another kind's follower asks.
+    /// Waits while another kind's follower probes the store.
     pub async fn wait_while_probed(&self, kind: ObjectKind) {
         let over = self.inner.over.notified();
         tokio::pin!(over);
-        // Before the look, so that an end in between is not missed.
+        // Registers before the check, so that an end in between is not missed.
         over.as_mut().enable();
-        let asked = self.lock().is_some_and(|asking| asking != kind);
-        if asked {
-            // Either way the follower asks now.
-            drop(tokio::time::timeout(LOOK_AFTER, over).await);
+        let is_other_probing = self.lock().is_some_and(|probing| probing != kind);
+        if is_other_probing {
+            // After the end of the outage or the timeout, the follower calls the store.
+            drop(tokio::time::timeout(MAX_PROBE_WAIT, over).await);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<ObjectKind>> {
-        let asking = self.inner.asking.lock();
-        asking.unwrap_or_else(PoisonError::into_inner)
+        let probing = self.inner.probing.lock();
+        probing.unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,10 +1,9 @@
-//! Settings that change while a node runs.
+//! Reloads the settings file while a node runs.
 //!
-//! **Failure:** an operator changes the settings file, with a SIGHUP or without, and a node
-//! goes on with seeds that are gone until somebody restarts it; or it takes in half of a
-//! file that is still being written. **Why this holds:** the file is read again on the
-//! signal and every few seconds, and taken in whole or not at all. What cannot change
-//! without a restart is named in the log, once.
+//! Without reloading, a node would keep using removed seeds until it is restarted. The file is
+//! read again on SIGHUP and every few seconds, since operators may change it without a signal. It
+//! is applied completely or not at all, so that a file that is still being written has no effect.
+//! Changes that need a restart are logged once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +15,27 @@
 use crate::settings::NodeSettings;
 use crate::settings::SettingsError;
 
-/// Time between two looks at the file where nothing signals a change: an operator's
-/// tooling that sends no signal is heard within some seconds, and a look costs a read.
+/// Interval at which the file is read without a signal. Tooling that sends no signal takes effect
+/// within seconds, and each check costs one read.
 pub const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The settings that are in force; cheap to clone.
+/// The settings in force; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct CurrentSettings {
     settings: Arc<ArcSwap<NodeSettings>>,
 }
 
-/// What a changed settings file came to.
+/// Result of applying a changed settings file.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct SettingsChanges {
     /// Keys whose new values are in force.
     pub applied: Vec<&'static str>,
-    /// Keys whose new values wait for a restart.
+    /// Keys whose new values need a restart.
     pub needs_restart: Vec<&'static str>,
 }
 
 impl CurrentSettings {
-    /// The settings of the start.
+    /// Starts with the settings at the start of the process.
     #[must_use]
     pub fn new(settings: NodeSettings) -> Self {
         Self {
@@ -44,27 +43,27 @@
         }
     }
 
-    /// The settings now.
+    /// The current settings.
     #[must_use]
     pub fn now(&self) -> Arc<NodeSettings> {
         self.settings.load_full()
     }
 
-    /// Takes in what may change in force.
+    /// Applies the settings that can change without a restart.
     #[must_use]
     pub fn apply(&self, new: &NodeSettings) -> SettingsChanges {
-        let held = self.now();
-        let mut taken = NodeSettings::clone(&held);
-        taken.seeds.clone_from(&new.seeds);
-        taken.lease_ms = new.lease_ms;
-        taken.config_apply_ms = new.config_apply_ms;
-        taken.revoke_ms = new.revoke_ms;
-        taken.end_applies_ms = new.end_applies_ms;
-        taken.keep_results_s = new.keep_results_s;
-        taken.log_level.clone_from(&new.log_level);
-        let applied = held.keys_that_differ(&taken);
-        let needs_restart = taken.keys_that_differ(new);
-        self.settings.store(Arc::new(taken));
+        let previous = self.now();
+        let mut applied_settings = NodeSettings::clone(&previous);
+        applied_settings.seeds.clone_from(&new.seeds);
+        applied_settings.lease_ms = new.lease_ms;
+        applied_settings.config_apply_ms = new.config_apply_ms;
+        applied_settings.revoke_ms = new.revoke_ms;
+        applied_settings.end_applies_ms = new.end_applies_ms;
+        applied_settings.keep_results_s = new.keep_results_s;
+        applied_settings.log_level.clone_from(&new.log_level);
+        let applied = previous.keys_that_differ(&applied_settings);
+        let needs_restart = applied_settings.keys_that_differ(new);
+        self.settings.store(Arc::new(applied_settings));
         SettingsChanges {
             applied,
             needs_restart,
@@ -72,46 +71,46 @@
     }
 }
 
-/// Reads the settings file again and again.
+/// Reloads the settings file when it has changed.
 #[derive(Debug)]
 pub struct SettingsReloader {
     current_settings: CurrentSettings,
     journal: Journal,
-    /// What the file said when it was last read; errors as they were logged.
-    read: Result<NodeSettings, String>,
+    /// Result of the last read of the file; errors as they were logged.
+    last_read: Result<NodeSettings, String>,
 }
 
 impl SettingsReloader {
-    /// Nothing has changed since the start.
+    /// Assumes that the file has not changed since `current_settings` was loaded.
     #[must_use]
     pub fn new(current_settings: CurrentSettings, journal: Journal) -> Self {
-        let read = Ok(NodeSettings::clone(&current_settings.now()));
+        let last_read = Ok(NodeSettings::clone(&current_settings.now()));
         Self {
             current_settings,
             journal,
-            read,
+            last_read,
         }
     }
 
-    /// Reads the file; tells whether anything else is in force than before.
+    /// Reads the file and applies changes. Returns whether the settings in force changed.
     pub fn reload_if_changed(&mut self) -> bool {
         let path = self.current_settings.now().path.clone();
         match NodeSettings::load(&path) {
-            Ok(settings) if self.read.as_ref() == Ok(&settings) => false,
+            Ok(settings) if self.last_read.as_ref() == Ok(&settings) => false,
             Ok(settings) => {
                 let changes = self.current_settings.apply(&settings);
-                self.read = Ok(settings);
-                self.note(&changes);
+                self.last_read = Ok(settings);
+                self.log_changes(&changes);
                 !changes.applied.is_empty()
             }
             Err(error) => {
-                self.refuse(&error);
+                self.log_refused(&error);
                 false
             }
         }
     }
 
-    fn note(&self, changes: &SettingsChanges) {
+    fn log_changes(&self, changes: &SettingsChanges) {
         let (applied, needs_restart) = (changes.applied.join(","), changes.needs_restart.join(","));
         self.journal.event(
             "settings_taken",
@@ -122,12 +121,13 @@
         }
     }
 
-    /// A file that stays malformed is logged once.
-    fn refuse(&mut self, error: &SettingsError) {
-        let said = error.to_string();
-        if self.read.as_ref().err() != Some(&said) {
-            self.journal.event("settings_refused", &[("cause", &said)]);
-            self.read = Err(said);
+    /// Logs an invalid file; the same error is logged once.
+    fn log_refused(&mut self, error: &SettingsError) {
+        let message = error.to_string();
+        if self.last_read.as_ref().err() != Some(&message) {
+            self.journal
+                .event("settings_refused", &[("cause", &message)]);
+            self.last_read = Err(message);
         }
     }
 }
