--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -1,5 +1,5 @@
-//! Live calls: a client's request is admitted, sent to an upstream, tried again
-//! where that is safe, and answered with the upstream's bytes or a typed outcome.
+//! Live calls: a client's request is admitted, sent to an upstream, retried where that is safe,
+//! and answered with the upstream's bytes or a typed outcome.
 
 use std::fmt::Display;
 use std::pin::Pin;
@@ -51,25 +51,25 @@
 use crate::shared::Shared;
 use crate::usage::counter::TrackedRequest;
 
-/// How long a client is kept waiting that does not say how long it waits.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a call whose client sends none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest answer that is not streamed.
-const ANSWER_LIMIT_BYTES: usize = 32 << 20;
+/// Largest body of an answer that is not streamed.
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// Part of the time left that one try may take while others may follow: an
-/// upstream that went silent then leaves time for one that answers.
-const TRY_PART: f64 = 0.4;
+/// Fraction of the remaining time that a try may take unless it is the last one: if the upstream
+/// does not answer, there is time left to try another.
+const TRY_TIME_FRACTION: f64 = 0.4;
 
-/// A try gets at least this long: plain services answer within tens of
-/// milliseconds, and a loaded one within a few hundred.
-const TRY_LEAST: Duration = Duration::from_millis(250);
+/// Shortest timeout of a try: live services answer within tens of milliseconds, and within a few
+/// hundred under load.
+const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// When a client may come back whose call found no upstream that took it.
-const COME_BACK: Duration = Duration::from_millis(100);
+/// Time after which a client may retry a call that no upstream accepted.
+const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// When a client may come back while this node knows no configuration yet.
-const NOT_READY: Duration = Duration::from_millis(300);
+/// Time after which a client may retry while this node has no configuration.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 fn without_outlier_ejection() -> Box<dyn Dispatcher> {
     Box::new(LaneDispatcher::without_outlier_ejection())
@@ -79,27 +79,28 @@
 #[derive(Debug)]
 pub struct LiveCalls {
     shared: Shared,
-    /// Hash of this node. Its calls of a service go to the same upstream while that is
-    /// no fuller than others, so that its connections are used again: with many nodes each
-    /// has few calls, and a connection idles out between two of them.
+    /// Hash of this node's name. Its calls of a service prefer one upstream while that is no
+    /// fuller than others, so that connections are reused: with many nodes each has few calls,
+    /// and a connection would be closed as idle between two of them.
     affinity: u64,
     gates: Gates,
 }
 
-/// How one try ended.
-enum Try {
-    /// A whole answer, or the head of a stream.
+/// Outcome of one try.
+enum TryOutcome {
+    /// A complete answer, or the head of a stream.
     Answer(Response<Body>),
-    /// An upstream failed the request; its answer stands if no other does better.
+    /// The upstream answered with a server error; returned unless another try succeeds.
     FailedAnswer(Response<Body>),
     /// The upstream did not run the request.
     NotRun,
     /// Nothing was sent.
     NotSent,
-    /// Something was sent and no whole answer came.
+    /// The request was sent, at least in part, and there is no complete answer.
     Unknown,
 }
 
+/// A call that is being answered.
 struct Call<'a> {
     route: &'a Route,
     routed: &'a RoutedCall,
@@ -114,7 +115,7 @@
 }
 
 impl LiveCalls {
-    /// Answers nothing before the fleet knows a configuration.
+    /// Creates it without upstreams; they are set by [`LiveCalls::update_upstreams`].
     #[must_use]
     pub fn new(shared: Shared, node: &str, zone: String) -> Arc<Self> {
         let dispatcher: fn() -> Box<dyn Dispatcher> =
@@ -137,17 +138,17 @@
         })
     }
 
-    /// Brings the gates up to what the fleet knows.
+    /// Updates the upstreams of the gates from the fleet.
     pub fn update_upstreams(&self) {
         self.gates.update_upstreams(&self.shared.fleet);
     }
 
-    /// Lets time-bound decisions happen.
+    /// Runs decisions that depend on the time.
     pub fn tick(&self) {
         self.gates.tick();
     }
 
-    /// Answers one call, which is for this account.
+    /// Answers one call on behalf of this account.
     pub async fn answer(
         self: &Arc<Self>,
         routed: &RoutedCall,
@@ -157,15 +158,18 @@
         body: Incoming,
     ) -> Response<Body> {
         let started = self.shared.clock.now();
-        let patience = routed.timeout.unwrap_or(PATIENCE).min(route.timeout());
+        let timeout = routed
+            .timeout
+            .unwrap_or(DEFAULT_TIMEOUT)
+            .min(route.timeout());
         let limit = self.shared.fleet.config().max_body_bytes;
-        let body = match within(patience, read_body(body, limit)).await {
+        let body = match within(timeout, read_body(body, limit)).await {
             Some(Some(body)) => body,
             Some(None) => {
                 let status = StatusCode::PAYLOAD_TOO_LARGE;
                 return refusal(Outcome::BadRequest(status), "body-too-large");
             }
-            None => return refusal(Outcome::NotRun(COME_BACK), "body-late"),
+            None => return refusal(Outcome::NotRun(RETRY_AFTER), "body-late"),
         };
         let service = pick_target(route, &routed.request_id);
         let call = Call {
@@ -177,7 +181,7 @@
             head,
             body,
             started,
-            deadline: started + patience,
+            deadline: started + timeout,
         };
         let answer = self.run(&call).await;
         let took = self.shared.clock.now().duration_since(started);
@@ -190,7 +194,7 @@
             _ => "live.failed",
         });
         let (status, reason) = (answer.status().as_u16(), reason_of(&answer));
-        let (account, patience_ms) = (account.unwrap_or("none"), patience.as_millis());
+        let (account, timeout_ms) = (account.unwrap_or("none"), timeout.as_millis());
         let mut fields: Vec<(&str, &dyn Display)> = vec![
             ("request", &routed.request_id),
             ("route", &route.name),
@@ -198,11 +202,11 @@
             ("status", &status),
             ("reason", &reason),
             ("took_ms", &took_ms),
-            ("patience_ms", &patience_ms),
+            ("patience_ms", &timeout_ms),
         ];
         let shared_fields = call.progress.fields();
         if call.progress.is_shared {
-            self.count_shared(&call.progress, reason);
+            self.count_shared_call(&call.progress, reason);
             fields.extend(
                 shared_fields
                     .iter()
@@ -213,7 +217,7 @@
         answer
     }
 
-    fn count_shared(&self, progress: &CallProgress, reason: &str) {
+    fn count_shared_call(&self, progress: &CallProgress, reason: &str) {
         if progress.has_waited() {
             self.shared.journal.count("live.held_for_room");
         }
@@ -231,22 +235,22 @@
         } else {
             xxh3_64(call.routed.request_id.as_bytes())
         };
-        let idempotent = call.route.kind == RouteKind::Idempotent;
+        let is_idempotent = call.route.kind == RouteKind::Idempotent;
         let mut tries = Tries::new(call.route.max_attempts, call.progress.is_shared);
         let mut failed_answer = None;
         let mut may_have_run = false;
         while tries.has_tries_left() {
-            let asked = self.shared.clock.now();
-            let admitted = gate.admit(call.ask(asked, prefix, &tries)).await;
+            let asked_at = self.shared.clock.now();
+            let admitted = gate.admit(call.ask(asked_at, prefix, &tries)).await;
             call.progress
-                .record_wait(self.shared.clock.now().duration_since(asked));
+                .record_wait(self.shared.clock.now().duration_since(asked_at));
             let permit = match admitted {
                 Ok(permit) => permit,
-                Err(turned) if !may_have_run => {
-                    let retry_after = turned
+                Err(refused) if !may_have_run => {
+                    let retry_after = refused
                         .retry_after
-                        .min(call.patience_left(&*self.shared.clock) / 3);
-                    return refusal(Outcome::NotRun(retry_after), turned.reason.as_str());
+                        .min(call.time_left(&*self.shared.clock) / 3);
+                    return refusal(Outcome::NotRun(retry_after), refused.reason.as_str());
                 }
                 Err(_) => break,
             };
@@ -256,41 +260,41 @@
             if !tries.may_send_to(upstream) {
                 break;
             }
-            let last = tries.is_last() || !idempotent;
-            let outcome = self.try_upstream(call, service, permit, last).await;
-            if matches!(outcome, Try::NotSent) {
+            let is_last = tries.is_last() || !is_idempotent;
+            let outcome = self.try_upstream(call, service, permit, is_last).await;
+            if matches!(outcome, TryOutcome::NotSent) {
                 tries.record_not_sent(upstream);
             } else {
                 self.count_try(call, &outcome);
-                tries.record_sent(upstream, matches!(outcome, Try::NotRun));
+                tries.record_sent(upstream, matches!(outcome, TryOutcome::NotRun));
             }
             match outcome {
-                Try::Answer(answer) => return answer,
-                Try::FailedAnswer(answer) => {
+                TryOutcome::Answer(answer) => return answer,
+                TryOutcome::FailedAnswer(answer) => {
                     may_have_run = true;
                     failed_answer = Some(answer);
                 }
-                Try::NotRun | Try::NotSent => {}
-                Try::Unknown => may_have_run = true,
+                TryOutcome::NotRun | TryOutcome::NotSent => {}
+                TryOutcome::Unknown => may_have_run = true,
             }
-            let in_time = self.shared.clock.now() < call.deadline;
-            if !in_time || (may_have_run && !idempotent) {
+            let is_in_time = self.shared.clock.now() < call.deadline;
+            if !is_in_time || (may_have_run && !is_idempotent) {
                 break;
             }
         }
-        self.give_up(call, failed_answer, may_have_run)
+        self.failure_answer(call, failed_answer, may_have_run)
     }
 
     /// Counts a try that was sent to an upstream, and whether the upstream refused it.
-    fn count_try(&self, call: &Call<'_>, outcome: &Try) {
+    fn count_try(&self, call: &Call<'_>, outcome: &TryOutcome) {
         call.progress.record_try();
-        if call.progress.is_shared && matches!(outcome, Try::NotRun) {
+        if call.progress.is_shared && matches!(outcome, TryOutcome::NotRun) {
             self.shared.journal.count("live.refused_by_upstream");
         }
     }
 
-    /// The final answer of a call that no upstream answered.
-    fn give_up(
+    /// The final answer of a call for which no try succeeded.
+    fn failure_answer(
         &self,
         call: &Call<'_>,
         failed_answer: Option<Response<Body>>,
@@ -300,11 +304,11 @@
             return answer;
         }
         if !may_have_run {
-            let third = call.patience_left(&*self.shared.clock) / 3;
+            let third = call.time_left(&*self.shared.clock) / 3;
             let retry_after = if call.progress.is_shared {
-                COME_BACK.min(third)
+                RETRY_AFTER.min(third)
             } else {
-                COME_BACK
+                RETRY_AFTER
             };
             return refusal(Outcome::NotRun(retry_after), "no-upstream-took-it");
         }
@@ -319,25 +323,28 @@
         call: &Call<'_>,
         service: &str,
         permit: Permit,
-        last: bool,
-    ) -> Try {
+        is_last: bool,
+    ) -> TryOutcome {
         let upstream = self.shared.fleet.upstream_at(service, permit.address());
-        let remaining = call.patience_left(&*self.shared.clock);
+        let remaining = call.time_left(&*self.shared.clock);
         let Some(upstream) = upstream.filter(|_| !remaining.is_zero()) else {
             permit.finish(Ending::Unreachable, 0);
-            return Try::NotSent;
+            return TryOutcome::NotSent;
         };
-        let patience = if last {
+        let timeout = if is_last {
             remaining
         } else {
-            remaining.mul_f64(TRY_PART).max(TRY_LEAST).min(remaining)
+            remaining
+                .mul_f64(TRY_TIME_FRACTION)
+                .max(MIN_TRY_TIMEOUT)
+                .min(remaining)
         };
         let request = self.upstream_request(call, &upstream, remaining);
         let tracked = self.shared.usage_counter.track_request(call.account);
         let sending = self.exchange(call, &upstream, request, permit, tracked);
-        let Some(outcome) = within(patience, sending).await else {
-            self.note_try(call, &upstream, "late");
-            return Try::Unknown;
+        let Some(outcome) = within(timeout, sending).await else {
+            self.log_failed_try(call, &upstream, "late");
+            return TryOutcome::Unknown;
         };
         outcome
     }
@@ -366,7 +373,7 @@
         request: Request<Full<Bytes>>,
         permit: Permit,
         tracked: TrackedRequest,
-    ) -> Try {
+    ) -> TryOutcome {
         let exchange = match self
             .shared
             .connections
@@ -375,36 +382,37 @@
         {
             Ok(exchange) => exchange,
             Err(error) => {
-                self.note_try(call, upstream, "no-answer");
+                self.log_failed_try(call, upstream, "no-answer");
                 return match error {
                     CallError::Refused | CallError::NotSent => {
                         tracked.record_not_run();
                         permit.finish(Ending::Unreachable, 0);
-                        Try::NotSent
+                        TryOutcome::NotSent
                     }
                     CallError::Broken | CallError::Late => {
                         permit.finish(Ending::Failed, 0);
-                        Try::Unknown
+                        TryOutcome::Unknown
                     }
                 };
             }
         };
         let (head, body) = exchange.answer.into_parts();
-        let said = self.shared.dialect.answer_head(&head);
-        let load = self.shared.usable_load(said.load);
-        let own = said.request_id.as_deref().unwrap_or_default() == call.routed.request_id;
-        if said.not_run {
+        let answer_head = self.shared.dialect.answer_head(&head);
+        let load = self.shared.usable_load(answer_head.load);
+        let is_own_answer =
+            answer_head.request_id.as_deref().unwrap_or_default() == call.routed.request_id;
+        if answer_head.not_run {
             tracked.record_not_run();
             if body.collect().await.is_ok() {
                 exchange.connection.return_to_pool();
             }
             permit.finish_told(Ending::Refused, load);
-            return Try::NotRun;
+            return TryOutcome::NotRun;
         }
-        if !own || said.proof.is_none() {
-            self.note_try(call, upstream, "foreign-answer");
+        if !is_own_answer || answer_head.proof.is_none() {
+            self.log_failed_try(call, upstream, "foreign-answer");
             permit.finish(Ending::Failed, 0);
-            return Try::Unknown;
+            return TryOutcome::Unknown;
         }
         let headers = self.shared.dialect.returned_headers(&head.headers);
         if matches!(call.route.kind, RouteKind::Streaming { .. }) && head.status.is_success() {
@@ -416,69 +424,66 @@
             let mut answer = Response::new(stream.boxed_unsync());
             *answer.status_mut() = head.status;
             *answer.headers_mut() = headers;
-            return Try::Answer(answer);
+            return TryOutcome::Answer(answer);
         }
-        let Ok(body) = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await else {
-            self.note_try(call, upstream, "broken-answer");
+        let Ok(body) = Limited::new(body, MAX_ANSWER_BYTES).collect().await else {
+            self.log_failed_try(call, upstream, "broken-answer");
             permit.finish(Ending::Failed, 0);
-            return Try::Unknown;
+            return TryOutcome::Unknown;
         };
         exchange.connection.return_to_pool();
         let mut answer = bytes_response(head.status, body.to_bytes());
         *answer.headers_mut() = headers;
         if head.status.is_server_error() {
             permit.finish_told(Ending::Failed, load);
-            return Try::FailedAnswer(answer);
+            return TryOutcome::FailedAnswer(answer);
         }
         permit.finish_told(Ending::Answered, load);
-        Try::Answer(answer)
+        TryOutcome::Answer(answer)
     }
 
-    fn note_try(&self, call: &Call<'_>, upstream: &Upstream, outcome: &str) {
+    fn log_failed_try(&self, call: &Call<'_>, upstream: &Upstream, outcome: &str) {
         self.shared.journal.event(
             "try_failed",
             &[
                 ("request", &call.routed.request_id),
                 ("upstream", &upstream.instance),
                 ("outcome", &outcome),
-                (
-                    "left_ms",
-                    &call.patience_left(&*self.shared.clock).as_millis(),
-                ),
+                ("left_ms", &call.time_left(&*self.shared.clock).as_millis()),
             ],
         );
     }
 
-    /// The answer while no configuration is known.
+    /// The answer while this node has no configuration.
     #[must_use]
     pub fn not_ready() -> Response<Body> {
-        refusal(Outcome::NotRun(NOT_READY), "no-configuration")
+        refusal(Outcome::NotRun(NOT_READY_RETRY_AFTER), "no-configuration")
     }
 }
 
 impl Call<'_> {
     fn ask(&self, now: Instant, prefix: u64, tries: &Tries) -> Ask {
-        let passed = now.duration_since(self.started);
+        let elapsed = now.duration_since(self.started);
         let objective = self.route.objective();
         Ask {
             class: Class::Live,
-            // One account's burst does not hold up the others.
+            // Calls are shared fairly among accounts, so that a burst of one does not delay others.
             caller: xxh3_64(self.account.unwrap_or_default().as_bytes()),
             prefix,
             cost_tokens: 1,
             priority: self.progress.priority.unwrap_or(0),
             deadline: self.deadline,
-            objective: objective.map(|objective| objective.saturating_sub(passed)),
+            objective: objective.map(|objective| objective.saturating_sub(elapsed)),
             avoid: tries.avoid().to_vec(),
         }
     }
 
-    fn patience_left(&self, clock: &dyn Clock) -> Duration {
+    fn time_left(&self, clock: &dyn Clock) -> Duration {
         self.deadline.saturating_duration_since(clock.now())
     }
 }
 
-/// The service that this request falls to, by the weights of the route's targets.
+/// The service that gets this request, by the weights of the route's targets.
 pub(crate) fn pick_target<'a>(route: &'a Route, request_id: &str) -> &'a str {
     let total: u64 = route
         .targets
@@ -496,7 +501,7 @@
     route.targets.first().map_or("", |target| &target.service)
 }
 
-/// A streamed answer that gives its connection and its place back at its end.
+/// A streamed answer that returns its connection and its slot when it ends.
 struct Stream {
     body: Incoming,
     connection: Option<PooledConnection>,
@@ -528,7 +533,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => Poll::Ready(Some(Ok(frame))),
-            // Broken off here too: a stream that simply ended would look whole.
+            // Passed on as an error: a stream that just ends would look complete to the client.
             Poll::Ready(Some(Err(error))) => {
                 self.finish(Ending::Failed);
                 Poll::Ready(Some(Err(std::io::Error::other(error))))
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,5 +1,5 @@
-//! Client of the platform's store. Every write has a condition, and a write
-//! without an answer is settled before its caller goes on.
+//! Client of the platform's store. Every write is conditional, and the outcome of a write
+//! without an answer is determined before its caller goes on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 use crate::store_fallback::StoreFallback;
 use crate::store_fallback::to_peer_uri;
 
-/// The store answers in milliseconds; past this it counts as not answering.
+/// Timeout of a call; the store normally answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause before a failed write is tried again, at first and at most. Each call
-/// costs, also in an outage, and an outage takes seconds.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
-const PAUSE_MOST: Duration = Duration::from_millis(800);
+/// First and longest delay before the retry of a failed write. Calls have a cost even during an
+/// outage, and an outage lasts for seconds.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Confirmed outcome of [`Store::create`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,9 +44,9 @@
     AlreadyExists,
 }
 
-/// The part of every value that names the write which made it.
+/// The part of every stored value that holds the id of the write which made it.
 #[derive(Debug, Deserialize)]
-struct Stamp {
+struct WriteStamp {
     write: String,
 }
 
@@ -57,14 +57,15 @@
     connections: ConnectionPool,
     address: SocketAddr,
     clock: Arc<dyn Clock>,
-    writer: Arc<str>,
-    writes: Arc<AtomicU64>,
+    writer_id: Arc<str>,
+    next_write: Arc<AtomicU64>,
     journal: Journal,
     fallback: StoreFallback,
 }
 
 impl Store {
-    /// A client that names its writes after `writer`, which no other process has.
+    /// Creates a client whose write ids start with `writer_id`, which has to be unique among all
+    /// processes.
     #[must_use]
     pub fn new(
         dialect: Arc<dyn Dialect>,
@@ -72,7 +73,7 @@
         address: SocketAddr,
         clock: Arc<dyn Clock>,
         journal: Journal,
-        writer: &str,
+        writer_id: &str,
         fallback: StoreFallback,
     ) -> Self {
         Self {
@@ -80,8 +81,8 @@
             connections,
             address,
             clock,
-            writer: writer.into(),
-            writes: Arc::default(),
+            writer_id: writer_id.into(),
+            next_write: Arc::default(),
             journal,
             fallback,
         }
@@ -90,40 +91,40 @@
     /// Id of this process, unique among all processes that write.
     #[must_use]
     pub fn writer_id(&self) -> &str {
-        &self.writer
+        &self.writer_id
     }
 
-    /// A name for the next write.
+    /// A unique id for the next write.
     #[must_use]
     pub fn write_id(&self) -> String {
-        let number = self.writes.fetch_add(1, Ordering::Relaxed);
-        format!("{}-{number}", self.writer)
+        let number = self.next_write.fetch_add(1, Ordering::Relaxed);
+        format!("{}-{number}", self.writer_id)
     }
 
-    /// One call, tried once.
+    /// Makes one call, without a retry.
     ///
     /// # Errors
     ///
-    /// As [`StoreError`] tells.
+    /// Any [`StoreError`].
     pub async fn call(&self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
         let timeout = match call {
             StoreCall::Watch { wait, .. } => *wait + CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
         };
         let started = self.clock.now();
-        let answer = self.call_some_way(call, timeout).await;
-        self.measure(call, started, &answer);
+        let answer = self.call_with_fallback(call, timeout).await;
+        self.record_call(call, started, &answer);
         answer
     }
 
-    /// Asks the store, or a node that can if this one cannot.
-    async fn call_some_way(
+    /// Makes a call directly, or through another node if the store is unavailable to this one.
+    async fn call_with_fallback(
         &self,
         call: &StoreCall,
         timeout: Duration,
     ) -> Result<StoreAnswer, StoreError> {
         if let Some(node) = self.fallback.current(self.clock.now()) {
-            let answer = self.call_through(node, call, timeout).await;
+            let answer = self.call_through_node(node, call, timeout).await;
             if !is_unavailable(&answer) {
                 return answer;
             }
@@ -133,14 +134,14 @@
             self.fallback.record_direct_success();
             return direct;
         }
-        // A watch that broke off is for its follower, who lists anew.
+        // A watch that broke off is handled by its follower, which lists again.
         if matches!(call, StoreCall::Watch { .. }) {
             return direct;
         }
         let Some(node) = self.fallback.next_node(self.clock.now()) else {
             return direct;
         };
-        let answer = self.call_through(node, call, timeout).await;
+        let answer = self.call_through_node(node, call, timeout).await;
         if is_unavailable(&answer) {
             return direct;
         }
@@ -148,7 +149,7 @@
         answer
     }
 
-    async fn call_through(
+    async fn call_through_node(
         &self,
         node: SocketAddr,
         call: &StoreCall,
@@ -175,10 +176,10 @@
         to: SocketAddr,
         call: &StoreCall,
         timeout: Duration,
-        through_node: bool,
+        is_through_node: bool,
     ) -> Result<StoreAnswer, StoreError> {
         let mut request = self.dialect.store_request(call);
-        if through_node {
+        if is_through_node {
             to_peer_uri(&mut request);
         }
         match self.connections.call(to, request, timeout).await {
@@ -188,7 +189,7 @@
         }
     }
 
-    fn measure(
+    fn record_call(
         &self,
         call: &StoreCall,
         started: Instant,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Notes that an object of the system's own is not as the system writes it.
+    /// Logs that an object which the nodes write themselves is malformed.
     pub fn log_unreadable(&self, kind: ObjectKind, name: &str, cause: &serde_json::Error) {
         self.journal.event(
             "object_unreadable",
@@ -236,16 +237,16 @@
         );
     }
 
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     ///
     /// The store did not answer.
     pub async fn read(&self, kind: ObjectKind, name: &str) -> Result<Option<Object>, StoreError> {
-        self.read_as(kind, name, Freshness::Newest).await
+        self.read_with(kind, name, Freshness::Newest).await
     }
 
-    /// Reads an object as it is or was seconds ago; `None` if there is or was none.
+    /// Reads an object as it is or was some seconds ago; `None` if it does or did not exist.
     ///
     /// # Errors
     ///
@@ -255,10 +256,10 @@
         kind: ObjectKind,
         name: &str,
     ) -> Result<Option<Object>, StoreError> {
-        self.read_as(kind, name, Freshness::Seconds).await
+        self.read_with(kind, name, Freshness::Seconds).await
     }
 
-    async fn read_as(
+    async fn read_with(
         &self,
         kind: ObjectKind,
         name: &str,
@@ -276,23 +277,23 @@
         }
     }
 
-    /// Creates an object, tried until it is certain whether this write or an
-    /// earlier one made it. A store that refuses is not asked again: that is certain.
+    /// Creates an object; retries until it is certain whether this write or an earlier one
+    /// created it. A refusal by the store is certain and not retried.
     ///
-    /// A creation without an answer may still be carried out seconds later.
-    /// Only the same creation, sent again, settles it: it succeeds, or it meets
-    /// the object, which names its write.
+    /// A creation without an answer may still be carried out seconds later. Only the same
+    /// creation, sent again, tells the outcome: it succeeds, or it conflicts with the object,
+    /// which holds the id of the write that made it.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unknown`] if it is open at `until` whether the object will
-    /// appear; any other error says that this write made nothing.
+    /// [`StoreError::Unknown`] if it is unknown at `until` whether the object will exist; with
+    /// any other error this write created nothing.
     pub async fn create<T: Serialize + Sync>(
         &self,
         kind: ObjectKind,
         name: &str,
         value: &T,
-        write: &str,
+        write_id: &str,
         until: Instant,
     ) -> Result<CreateOutcome, StoreError> {
         let call = StoreCall::Create {
@@ -300,13 +301,13 @@
             name: name.to_owned(),
             value: to_raw(value)?,
         };
-        let mut open = false;
-        let mut pause = PAUSE_FIRST;
+        let mut is_unknown = false;
+        let mut delay = INITIAL_RETRY_DELAY;
         loop {
             let failed = match self.call(&call).await {
                 Ok(_) => return Ok(CreateOutcome::Created),
                 Err(StoreError::Conflict) => match self.read(kind, name).await {
-                    Ok(Some(object)) if is_made_by(&object, write) => {
+                    Ok(Some(object)) if is_made_by(&object, write_id) => {
                         return Ok(CreateOutcome::Created);
                     }
                     Ok(Some(_)) => return Ok(CreateOutcome::AlreadyExists),
@@ -316,24 +317,28 @@
                 Err(error) => error,
             };
             match failed {
-                StoreError::Unknown => open = true,
+                StoreError::Unknown => is_unknown = true,
                 StoreError::Conflict => {}
-                StoreError::Refused(_) | StoreError::Unreachable if open => {}
+                StoreError::Refused(_) | StoreError::Unreachable if is_unknown => {}
                 other => return Err(other),
             }
-            if self.clock.now() + pause >= until {
-                return Err(if open { StoreError::Unknown } else { failed });
+            if self.clock.now() + delay >= until {
+                return Err(if is_unknown {
+                    StoreError::Unknown
+                } else {
+                    failed
+                });
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Creates an object, tried once, and gives its revision.
+    /// Creates an object without a retry, and returns its revision.
     ///
     /// # Errors
     ///
-    /// As [`StoreError`] tells; after [`StoreError::Unknown`] it may yet appear.
+    /// Any [`StoreError`]; after [`StoreError::Unknown`] the object may still be created.
     pub async fn create_once<T: Serialize + Sync>(
         &self,
         kind: ObjectKind,
@@ -351,7 +356,7 @@
         }
     }
 
-    /// Removes an object; done as well if there is none.
+    /// Removes an object; succeeds if it does not exist.
     ///
     /// # Errors
     ///
@@ -371,22 +376,22 @@
         }
     }
 
-    /// Replaces an object that must be at `revision`, and gives it as it is then.
+    /// Replaces an object that must be at `revision`, and returns the new object.
     ///
-    /// A conflict is read back: an earlier try whose answer was lost may have
-    /// made the change.
+    /// After a conflict the object is read: an earlier try whose answer was lost may have made
+    /// the change.
     ///
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if another write came first;
-    /// [`StoreError::Unknown`] if it is open whether this one was made.
+    /// [`StoreError::Unknown`] if it is unknown whether this one was made.
     pub async fn replace<T: Serialize + Sync>(
         &self,
         kind: ObjectKind,
         name: &str,
         revision: u64,
         value: &T,
-        write: &str,
+        write_id: &str,
     ) -> Result<Object, StoreError> {
         let call = StoreCall::Replace {
             kind,
@@ -395,12 +400,12 @@
             value: to_raw(value)?,
         };
         let mut failed = StoreError::Unknown;
-        for _ in 0..REPLACE_TRIES {
+        for _ in 0..MAX_REPLACE_TRIES {
             failed = match self.call(&call).await {
                 Ok(StoreAnswer::Object(object)) => return Ok(object),
                 Ok(_) | Err(StoreError::Unknown) => StoreError::Unknown,
                 Err(StoreError::Conflict) => match self.read(kind, name).await? {
-                    Some(object) if is_made_by(&object, write) => return Ok(object),
+                    Some(object) if is_made_by(&object, write_id) => return Ok(object),
                     _ => return Err(StoreError::Conflict),
                 },
                 Err(error) => return Err(error),
@@ -410,11 +415,11 @@
     }
 }
 
-/// Tries of one replacement whose answers are lost: a third of them are in a bad
-/// spell, so that three in a row are rare.
-const REPLACE_TRIES: u32 = 3;
+/// Maximum number of tries of one replacement whose answers are lost. Up to a third of the
+/// answers can be lost for a while, so that three losses in a row are rare.
+const MAX_REPLACE_TRIES: u32 = 3;
 
-/// The store did not do the call, or did not say so: another node may have its ear.
+/// Whether the call was not carried out, or not answered; it may succeed through another node.
 const fn is_unavailable(answer: &Result<StoreAnswer, StoreError>) -> bool {
     let refused = matches!(answer, Err(StoreError::Refused(_)));
     refused || matches!(answer, Err(StoreError::Unreachable | StoreError::Unknown))
@@ -424,6 +429,7 @@
     serde_json::value::to_raw_value(value).map_err(|error| StoreError::Malformed(error.into()))
 }
 
-fn is_made_by(object: &Object, write: &str) -> bool {
-    serde_json::from_str::<Stamp>(object.value.get()).is_ok_and(|stamp| stamp.write == write)
+fn is_made_by(object: &Object, write_id: &str) -> bool {
+    serde_json::from_str::<WriteStamp>(object.value.get())
+        .is_ok_and(|stamp| stamp.write == write_id)
 }
