--- a/crates/node/src/change.rs
+++ b/crates/node/src/change.rs
@@ -1,20 +1,20 @@
-//! What a follower of the platform's objects is told.
+//! Changes of the platform's objects, as reported to a follower.
 
 use crate::dialect::Object;
 
-/// What a follower is told.
+/// A change of objects of one kind.
 #[derive(Debug)]
 pub enum Change {
     /// All objects of the kind, after a start or a gap.
     All(Vec<Object>),
     /// One object appeared or changed.
     Put(Object),
-    /// The object of this name is gone.
+    /// The object with this name was removed.
     Removed(String),
 }
 
 impl Change {
-    /// The objects that it shows to be there.
+    /// The existing objects in this change.
     #[must_use]
     pub fn into_objects(self) -> Vec<Object> {
         match self {
--- a/crates/node/src/connection_pool.rs
+++ b/crates/node/src/connection_pool.rs
@@ -1,10 +1,9 @@
-//! Connections to upstreams, to the platform's store and to other nodes: kept
-//! open between requests, one request at a time on each, closed at once when a
-//! request is given up.
+//! HTTP/1 connection pool for upstreams, the platform's store and other nodes. Connections stay
+//! open between requests, carry one request at a time, and are closed when a request is cancelled.
 //!
-//! `hyper-util`'s pooled client hides which connection carried a request. It cannot
-//! close one whose answer belongs to another request, and such a connection would
-//! go on handing out wrong answers. So connections are held here, on `hyper`'s own.
+//! The pooled client of `hyper-util` hides which connection carried a request. It cannot close a
+//! connection whose answer belongs to another request, and such a connection would keep returning
+//! wrong answers. Therefore this pool is built directly on `hyper`'s connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,41 +33,42 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A connection that is not open by then is given up: links take a few
-/// milliseconds, and a lost opening packet is sent again after one second.
+/// Connecting normally takes a few milliseconds, and a lost SYN packet is retransmitted after one
+/// second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time without an acknowledgement after which the system closes a connection.
-/// A cut-off peer shows neither an answer nor a reset.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Time without a TCP acknowledgement after which the system closes a connection. A partitioned
+/// peer sends neither an answer nor a reset.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Silence after which the system probes a connection, and between two probes;
-/// with [`PROBES`] they tell when a connection that went silent for good ends.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe, and between probes. Together with [`KEEPALIVE_PROBES`]
+/// it limits how long a dead connection stays open.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+/// Number of unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// How long an idle connection is kept if the other side does not say.
-const IDLE: Duration = Duration::from_secs(3);
+/// How long an idle connection is kept if the peer states no timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection is given up this long before the other side closes it, so that
-/// no request crosses its close.
+/// A connection is dropped this long before the peer closes it, so that no request is sent while
+/// it closes.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle connections kept for one address: more than an engine runs at once.
-const IDLE_MOST: usize = 32;
+/// Maximum number of idle connections to one address; more than the requests that an engine runs
+/// concurrently.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
-/// Idle connections kept in all; beyond it the one that was used longest ago is closed. Each
-/// takes a descriptor and buffers, of which a small VM has few.
-const IDLE_MOST_IN_ALL: usize = 1_024;
+/// Maximum number of idle connections in total; beyond it the least recently used one is closed.
+/// Each takes a file descriptor and buffers, which are scarce on a small VM.
+const MAX_IDLE: usize = 1_024;
 
-/// An answer larger than this is refused: the store's values end at a megabyte,
-/// and a list is about as large.
-const ANSWER_LIMIT_BYTES: usize = 16 << 20;
+/// Larger answers are rejected. Values of the store have at most one megabyte, and lists are about
+/// as large.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 impl CallError {
-    /// No byte of the request can have reached the other side.
+    /// Whether no byte of the request can have reached the peer.
     #[must_use]
     pub const fn is_not_sent(self) -> bool {
         matches!(self, Self::Refused | Self::NotSent)
@@ -76,7 +76,7 @@
 }
 
 quick_error! {
-    /// Why a request brought no whole answer.
+    /// Why a request got no complete answer.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum CallError {
         /// Nothing listens at the address; no byte of the request was sent.
@@ -91,7 +91,7 @@
         Broken {
             display("broken")
         }
-        /// No answer in time; something was sent.
+        /// No complete answer in time; something may have been sent.
         Late {
             display("late")
         }
@@ -99,85 +99,85 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     to: SocketAddr,
-    line: Line,
+    open: OpenConnection,
     until: Instant,
 }
 
 /// An open connection; closed when dropped.
 #[derive(Debug)]
-struct Line {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Line {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// A connection in use. Dropping it closes the connection, which tells the other
-/// side to stop working; [`PooledConnection::return_to_pool`] keeps it for the next request.
+/// A connection in use. Dropping it closes the connection, which makes the peer stop working on
+/// the request; [`PooledConnection::return_to_pool`] keeps it for the next request.
 #[derive(Debug)]
 pub struct PooledConnection {
-    connections: ConnectionPool,
+    pool: ConnectionPool,
     to: SocketAddr,
-    line: Option<Line>,
-    idle: Option<Duration>,
+    open: Option<OpenConnection>,
+    idle_timeout: Option<Duration>,
 }
 
 impl PooledConnection {
-    /// Keeps the connection for the next request. The answer must have been read
-    /// to its end and belong to the request.
+    /// Returns the connection to the pool for the next request. The answer must belong to the
+    /// request and have been read to its end.
     pub fn return_to_pool(mut self) {
-        if let (Some(line), Some(idle)) = (self.line.take(), self.idle) {
-            self.connections.put(self.to, line, idle);
+        if let (Some(open), Some(idle_timeout)) = (self.open.take(), self.idle_timeout) {
+            self.pool.put(self.to, open, idle_timeout);
         }
     }
 }
 
-/// An answer whose body still arrives.
+/// A response whose body is still being received.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// The answer.
+    /// The response.
     pub answer: Response<Incoming>,
     /// Its connection.
     pub connection: PooledConnection,
 }
 
-/// All connections of a process; cheap to clone.
+/// The connections of a process; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct ConnectionPool {
     clock: Arc<dyn Clock>,
-    /// The one that was used longest ago first.
-    idle: Arc<Mutex<Vec<Idle>>>,
-    idle_most: usize,
+    /// Least recently used first.
+    idle: Arc<Mutex<Vec<IdleConnection>>>,
+    max_idle: usize,
 }
 
 impl ConnectionPool {
-    /// No connections yet.
+    /// An empty pool.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
-        Self::with_max_idle(clock, IDLE_MOST_IN_ALL)
+        Self::with_max_idle(clock, MAX_IDLE)
     }
 
-    /// The same, with another number of idle connections that are kept in all.
+    /// An empty pool that keeps at most `max_idle` idle connections in total.
     #[must_use]
-    pub fn with_max_idle(clock: Arc<dyn Clock>, idle_most: usize) -> Self {
+    pub fn with_max_idle(clock: Arc<dyn Clock>, max_idle: usize) -> Self {
         Self {
             clock,
             idle: Arc::default(),
-            idle_most,
+            max_idle,
         }
     }
 
-    /// Sends a request and gives the head of its answer.
+    /// Sends a request and returns the head of its answer.
     ///
     /// # Errors
     ///
-    /// No connection, or it broke.
+    /// If connecting failed, or the connection broke.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -191,23 +191,23 @@
             request.headers_mut().insert(header::HOST, host);
         }
         loop {
-            let (mut line, fresh) = match self.take(to) {
-                Some(line) => (line, false),
+            let (mut open, is_new) = match self.take(to) {
+                Some(open) => (open, false),
                 None => (connect(to).await?, true),
             };
-            match line.sender.try_send_request(request).await {
+            match open.sender.try_send_request(request).await {
                 Ok(answer) => {
                     let connection = PooledConnection {
-                        connections: self.clone(),
+                        pool: self.clone(),
                         to,
-                        line: Some(line),
-                        idle: idle_time(answer.headers()),
+                        open: Some(open),
+                        idle_timeout: idle_timeout(answer.headers()),
                     };
                     return Ok(StreamingResponse { answer, connection });
                 }
                 Err(mut failed) => match failed.take_message() {
-                    // An idle connection that the other side has closed.
-                    Some(unsent) if !fresh => request = unsent,
+                    // The peer has closed this idle connection.
+                    Some(unsent) if !is_new => request = unsent,
                     Some(_) => return Err(CallError::NotSent),
                     None => return Err(CallError::Broken),
                 },
@@ -215,62 +215,64 @@
         }
     }
 
-    /// Sends a request and gives the whole answer, within `timeout`.
+    /// Sends a request and returns the complete answer.
     ///
     /// # Errors
     ///
-    /// As [`ConnectionPool::send`], and no whole answer in time.
+    /// As [`ConnectionPool::send`], or if the answer is not complete within `timeout`.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let whole = async {
-            let exchange = self.send(to, request).await?;
-            let (head, body) = exchange.answer.into_parts();
-            let body = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
+        let complete = async {
+            let response = self.send(to, request).await?;
+            let (head, body) = response.answer.into_parts();
+            let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
             let body = body.map_err(|_broken| CallError::Broken)?.to_bytes();
-            exchange.connection.return_to_pool();
+            response.connection.return_to_pool();
             Ok(Response::from_parts(head, body))
         };
         let late = |_elapsed| CallError::Late;
-        tokio::time::timeout(timeout, whole).await.map_err(late)?
+        tokio::time::timeout(timeout, complete)
+            .await
+            .map_err(late)?
     }
 
-    /// Closes idle connections to an address: another process answers there now.
+    /// Closes idle connections to an address, at which another process listens now.
     pub fn close_idle(&self, to: SocketAddr) {
-        self.lock().retain(|held| held.to != to);
+        self.lock().retain(|entry| entry.to != to);
     }
 
-    fn take(&self, to: SocketAddr) -> Option<Line> {
+    fn take(&self, to: SocketAddr) -> Option<OpenConnection> {
         let now = self.clock.now();
         let mut idle = self.lock();
-        idle.retain(|held| held.until > now && !held.line.sender.is_closed());
-        // The newest one: the others may then run out and be closed.
+        idle.retain(|entry| entry.until > now && !entry.open.sender.is_closed());
+        // Takes the most recently used one, so that surplus connections expire.
         let at = idle
             .iter()
-            .rposition(|held| held.to == to && held.line.sender.is_ready())?;
-        Some(idle.remove(at).line)
+            .rposition(|entry| entry.to == to && entry.open.sender.is_ready())?;
+        Some(idle.remove(at).open)
     }
 
-    fn put(&self, to: SocketAddr, line: Line, idle_time: Duration) {
-        let until = self.clock.now() + idle_time;
+    fn put(&self, to: SocketAddr, open: OpenConnection, idle_timeout: Duration) {
+        let until = self.clock.now() + idle_timeout;
         let mut idle = self.lock();
-        if idle.iter().filter(|held| held.to == to).count() < IDLE_MOST {
-            idle.push(Idle { to, line, until });
+        if idle.iter().filter(|entry| entry.to == to).count() < MAX_IDLE_PER_ADDRESS {
+            idle.push(IdleConnection { to, open, until });
         }
-        if idle.len() > self.idle_most {
+        if idle.len() > self.max_idle {
             idle.remove(0);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn connect(to: SocketAddr) -> Result<Line, CallError> {
+async fn connect(to: SocketAddr) -> Result<OpenConnection, CallError> {
     let opening = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
     let stream = opening
         .map_err(|_elapsed| CallError::NotSent)?
@@ -278,35 +280,35 @@
             io::ErrorKind::ConnectionRefused => CallError::Refused,
             _ => CallError::NotSent,
         })?;
-    watch_silence(&stream);
+    set_keepalive(&stream);
     let (sender, driver) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|_closed| CallError::NotSent)?;
     let driver = tokio::spawn(async move {
-        // How the connection ended shows in the request that it carried.
+        // Errors are reported by the request that the connection carried.
         drop(driver.await);
     });
-    Ok(Line {
+    Ok(OpenConnection {
         sender,
         driver: driver.abort_handle(),
     })
 }
 
-/// Makes a connection end that has gone silent. Options that the system does not
-/// know are left out: the time limits of each request still hold.
-fn watch_silence(stream: &TcpStream) {
+/// Makes the system close dead connections. Unsupported socket options are ignored: the timeouts
+/// of each request still apply.
+fn set_keepalive(stream: &TcpStream) {
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     drop(socket.set_tcp_nodelay(true));
     drop(socket.set_tcp_keepalive(&probes));
-    drop(socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
+    drop(socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
 }
 
-/// How long the connection of this answer may stay idle; `None` if it ends.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// How long the connection of this answer may stay idle; `None` if the peer closes it.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text(header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if closes {
@@ -320,6 +322,6 @@
                 .find_map(|part| part.trim().strip_prefix("timeout="))
         })
         .and_then(|seconds| seconds.parse().ok());
-    let stated = seconds.map_or(IDLE, Duration::from_secs);
-    Some(stated.saturating_sub(IDLE_MARGIN))
+    let timeout = seconds.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs);
+    Some(timeout.saturating_sub(IDLE_MARGIN))
 }
--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -1,5 +1,5 @@
-//! What the platform tells a node, in the product's own words: configuration,
-//! upstreams, versions of weights, submissions.
+//! Data model of a node, independent of the platform's formats: configuration, upstreams,
+//! versions of weights, submissions.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -14,54 +14,55 @@
 /// How often a request of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May be run again after any failure.
+    /// May be retried after any failure.
     Idempotent,
-    /// Runs at most once for each attempt of a client.
+    /// Runs at most once per attempt of a client.
     Charged,
-    /// A stream of events; `resumable` ones may go on at another upstream.
+    /// A stream of events.
     Streaming {
-        /// A stream may be continued after the last event that arrived.
+        /// The stream may continue at another upstream after the last event that arrived.
         resumable: bool,
     },
     /// Submissions of a trainer.
     Rollout,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Part of the requests, relative to the other targets.
+    /// Weight of its share, relative to the other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// Routing of the requests for one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
     /// Value of the `Host` header.
     pub host: String,
-    /// Begin of the path; ends with a slash.
+    /// Prefix of the path; ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How often its requests may run.
     pub kind: RouteKind,
-    /// Longest time that a client is kept waiting.
+    /// Longest time that a client waits, in milliseconds.
     pub timeout_ms: u64,
     /// Services that may run the requests.
     pub targets: Vec<Target>,
-    /// Upstreams that one attempt of a client may be sent to.
+    /// Maximum number of upstreams to which one attempt of a client is sent.
     pub max_attempts: u32,
     /// Latency objective of calls, in milliseconds; 0 if there is none.
     pub objective_ms: u64,
-    /// All results of a submission are due this long after it came; 0 if not said.
+    /// Time from a submission's arrival until all its results are due, in milliseconds; 0 if
+    /// unspecified.
     pub due_ms: u64,
-    /// A submission's item may be given up after this time.
+    /// Time after which an item of a submission may be abandoned, in milliseconds.
     pub queue_ttl_ms: u64,
     /// A sample may not mix versions of weights.
     pub single_version: bool,
-    /// Its calls need no key.
+    /// Its calls need no API key.
     pub public: bool,
     /// Priority of its calls if their account has none; 0 is the highest, [`NO_PRIORITY`] the
     /// lowest.
@@ -69,7 +70,7 @@
 }
 
 impl Route {
-    /// Longest time that a client is kept waiting.
+    /// Longest time that a client waits.
     #[must_use]
     pub const fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
@@ -86,14 +87,14 @@
     }
 }
 
-/// What all upstreams of one service have in common.
+/// Properties that all upstreams of one service share.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Samples that an engine runs at once; 0 for plain services.
+    /// Number of samples that an engine runs concurrently; 0 for other services.
     pub slots: u32,
-    /// Tokens that an engine's memory holds; 0 for plain services.
+    /// Number of tokens that fit into an engine's memory; 0 for other services.
     pub memory_tokens: u64,
     /// Limits of autoscaling; `None` if nodes may not order upstreams of it.
     pub scaling: Option<ScalingLimits>,
@@ -126,15 +127,15 @@
 /// One version of the operator's configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Config {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
     /// Sorted by host; longest prefix first within one host.
     pub routes: Vec<Route>,
     /// Sorted by name.
     pub services: Vec<Service>,
-    /// Longest body that a client may send.
+    /// Largest body that a client may send.
     pub max_body_bytes: usize,
-    /// Who may call, where that is limited.
+    /// Accounts that may call; empty if calls are not restricted.
     pub accounts: Accounts,
 }
 
@@ -152,8 +153,8 @@
     /// Whether calls of a service are ordered by priority.
     #[must_use]
     pub fn has_priorities(&self, service: &str) -> bool {
-        let ranked = |route: &&Route| route.priority != NO_PRIORITY;
-        let mut routes = self.call_routes().filter(ranked);
+        let has_priority = |route: &&Route| route.priority != NO_PRIORITY;
+        let mut routes = self.call_routes().filter(has_priority);
         self.shares_services()
             && (self.accounts.has_priorities() || routes.any(|route| route.leads_to(service)))
     }
@@ -165,7 +166,7 @@
         own.unwrap_or(route.priority)
     }
 
-    /// Brings routes and services into the order that look-ups need.
+    /// Sorts routes and services as lookups require.
     pub fn sort(&mut self) {
         self.services.sort_by(|a, b| a.name.cmp(&b.name));
         self.routes.sort_by(|a, b| {
@@ -184,7 +185,8 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Steps of trainers at this host may be submitted, and so be read, without a key.
+    /// Whether steps of trainers may be submitted, and therefore read, without an API key at this
+    /// host.
     #[must_use]
     pub fn has_public_rollouts(&self, host: &str) -> bool {
         let mut routes = self.routes.iter();
@@ -202,7 +204,7 @@
         routes.filter(|route| route.kind != RouteKind::Rollout)
     }
 
-    /// A service by its name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at = self
@@ -221,14 +223,14 @@
     pub version: u64,
 }
 
-/// Names one start of a process of a service. A restart may keep the id: it holds and
-/// knows nothing of before, so that nothing that was learnt of the earlier start goes on.
+/// Identifies one start of a service's process. A restart may keep the id, but it has lost all
+/// state, so observations of the earlier start do not apply to it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instance {
-    /// Id, which requests name so that no other process runs them.
+    /// Id, which requests carry so that no other process runs them.
     pub id: String,
-    /// When it started by its own time of day; 0 where it does not say. A label to
-    /// compare for equality only: times of day jump.
+    /// Start time by its own wall clock, in milliseconds; 0 if unknown. To be compared for
+    /// equality only, since wall clocks jump.
     pub born_ms: u64,
 }
 
@@ -242,20 +244,20 @@
     }
 }
 
-/// One start of a process of a service.
+/// One running process of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Names this start.
+    /// Identifies this start of the process.
     pub instance: Instance,
-    /// Service that it answers for.
+    /// Its service.
     pub service: String,
-    /// Where it answers.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It gets no new work.
+    /// It is leaving and gets no new work.
     pub leaving: bool,
     /// Spot upstream: the platform may reclaim it at short notice.
     pub is_spot: bool,
@@ -264,7 +266,7 @@
 }
 
 impl Upstream {
-    /// The same upstream at the same place, whatever its weights.
+    /// Whether both agree in everything that matters for routing, that is all but their weights.
     #[must_use]
     pub fn has_same_routing(&self, other: &Self) -> bool {
         self.instance == other.instance
@@ -275,12 +277,12 @@
             && self.leaving == other.leaving
     }
 
-    /// Version of a model here, if the upstream has it.
+    /// Version of a model that the upstream has loaded; `None` if it has not loaded the model.
     #[must_use]
     pub fn version_of(&self, model: &str) -> Option<u64> {
         let at = self
             .models
-            .binary_search_by(|held| held.model.as_str().cmp(model));
+            .binary_search_by(|loaded| loaded.model.as_str().cmp(model));
         at.ok().map(|at| self.models[at].version)
     }
 }
@@ -294,32 +296,32 @@
     pub value: String,
 }
 
-/// The call that grades an item's whole text. It may be repeated.
+/// The call that grades an item's complete text. It may be retried.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RewardCall {
     /// Its id.
     pub id: String,
     /// Host of its route.
     pub host: String,
-    /// Path, which leads to its route.
+    /// Path, which selects its route.
     pub path: String,
-    /// Body, in base64 as it came.
+    /// Body, in base64 as received.
     pub body_base64: String,
 }
 
-/// What an item's reward call brought.
+/// Result of an item's reward call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Score {
     /// The call that was answered.
     pub call: RewardCall,
-    /// The proof of origin that came with the answer.
+    /// Proof of origin in the answer.
     pub proof: String,
 }
 
-/// One sample that a trainer asks for.
+/// One sample that a trainer requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its id, which is the id of its requests too.
+    /// Its id, also used as the id of its requests.
     pub id: String,
     /// Items of one group share their prompt.
     pub group: String,
@@ -327,13 +329,13 @@
     pub path: String,
     /// Headers for the upstream.
     pub headers: Vec<ItemHeader>,
-    /// Body for the upstream, in base64 as it came.
+    /// Body for the upstream, in base64 as received.
     pub body_base64: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer as the trainer estimates them; often far off.
+    /// The trainer's estimate of the number of tokens in the answer; often far off.
     pub expected_tokens: u32,
-    /// The call that grades its text, if one is wanted.
+    /// The call that grades its text, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reward_call: Option<RewardCall>,
 }
@@ -343,11 +345,11 @@
 pub struct Submission {
     /// Its id.
     pub id: String,
-    /// Model that makes the samples.
+    /// Model that generates the samples.
     pub model: String,
-    /// Oldest version of the weights that may make a token of it.
+    /// Oldest version of the weights that may generate a token of it.
     pub min_version: u64,
-    /// Groups that the trainer waits for.
+    /// Number of groups that the trainer waits for.
     pub target_groups: u32,
     /// The samples, in the trainer's order.
     pub items: Vec<Item>,
@@ -357,13 +359,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemState {
-    /// Its text is whole.
+    /// Its text is complete.
     Completed,
-    /// It was given up.
+    /// It was given up before its text was complete.
     Abandoned,
 }
 
-/// The end of one item, listed once and never changed.
+/// The final result of one item. It is listed once and never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
     /// Id of the item.
@@ -372,7 +374,7 @@
     pub state: ItemState,
     /// Data of all events, separated by line feeds.
     pub text: String,
-    /// Versions of the weights that made an event of the text, ascending.
+    /// Versions of the weights that generated the text's events, ascending.
     pub versions: Vec<u64>,
     /// Proof of origin of the answer to the item's reward call, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node that speak to upstreams have in common.
+//! Dependencies shared by the components of a node that send requests to upstreams.
 
 use std::sync::Arc;
 
@@ -16,22 +16,22 @@
 use crate::reload::CurrentSettings;
 use crate::usage::counter::UsageCounter;
 
-/// Cheap to clone.
+/// Shared dependencies; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shared {
-    /// What the platform is known to say.
+    /// This node's view of the platform.
     pub fleet: Arc<Fleet>,
-    /// What this node wants to know of upstreams.
+    /// Upstreams that this node subscribes to.
     pub interest: Arc<Interest>,
-    /// Translates messages.
+    /// Encodes and decodes messages.
     pub dialect: Arc<dyn Dialect>,
-    /// Connections.
+    /// Connection pool.
     pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
     pub boot_clock: Arc<dyn BootClock>,
-    /// Settings.
+    /// Settings in force.
     pub settings: CurrentSettings,
     /// Events and metrics.
     pub journal: Journal,
