--- a/crates/node/src/authentication.rs
+++ b/crates/node/src/authentication.rs
@@ -1,121 +1,123 @@
-//! Who a call is for, and whether this node knows enough to say so.
+//! Authenticates calls by API key, and denies them if the configuration may be too old for that.
 //!
-//! **Failure:** a key is taken away, and a node that has not heard of it goes on serving
-//! whoever has the key: it is cut off, was suspended, or watches a store that shows it
-//! nothing. **Guard:** each node knows up to when its configuration is the store's newest, on
-//! a clock that counts a suspended VM's time. A call that names an account by its key is let
-//! in only while that is young enough; else it is refused as not run, and the client comes
-//! back to another node. A call that was sent before the look is covered by it, however long
-//! it waits afterwards.
+//! When a key is revoked, a node that does not learn of it would go on serving its holders: the
+//! node may be cut off or suspended, or the store may hide changes from its watches. Each node
+//! therefore knows at what time its configuration was confirmed to be the newest, on a clock that
+//! runs on while the VM is suspended. A call with a key is accepted only while that time is
+//! recent enough; otherwise it is refused as not run, and the client retries on another node. A
+//! call that was sent before that time stays accepted, however long it waits afterwards.
 
 use std::time::Duration;
 
 use crate::account::ApiKey;
 use crate::model::Config;
 
-/// Part of the time within which a key that was taken away may still be served up to
-/// which a configuration counts as young. A store that drops its history hides changes from
-/// its watches for a second before that; the rest is for it.
-const REVOCATION_PART: f64 = 0.75;
+/// Fraction of the revocation time up to which a configuration is recent enough to serve keys.
+/// The rest allows for a store that drops its history: it hides changes from its watches for a
+/// second before that.
+const REVOCATION_AGE_FRACTION: f64 = 0.75;
 
-/// How often the configuration is asked for, as parts of the time within which it has to be in
-/// force, and of that within which a key may still be served. At a seed it gets two waits of its
-/// watch old, and at a node that asks a seed older by one hold of its question: together
-/// that stays below the time in which a node may deny a key, and serve one.
-const WATCH_OF_APPLY: f64 = 0.3;
-const HOLD_OF_APPLY: f64 = 0.28;
-const WATCH_OF_REVOCATION: f64 = 0.2;
-const HOLD_OF_REVOCATION: f64 = 0.18;
+/// Longest waits for a change of the configuration, as fractions of the time within which it has
+/// to take effect, and of the revocation time. At a seed a configuration gets as old as two waits
+/// of its watch, and at a node that polls a seed older by one hold of its request. The sum stays
+/// below the ages up to which a node may deny a key and serve one.
+const WATCH_APPLY_FRACTION: f64 = 0.3;
+const HOLD_APPLY_FRACTION: f64 = 0.28;
+const WATCH_REVOCATION_FRACTION: f64 = 0.2;
+const HOLD_REVOCATION_FRACTION: f64 = 0.18;
 
-/// How often a node has to hear of its configuration where calls need keys.
+/// Longest waits for a change of the configuration if calls need keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigWaitLimits {
     /// Longest wait of a watch of the store.
     pub max_watch: Duration,
-    /// Longest time for which a seed holds a question.
+    /// Longest time for which a seed holds a request.
     pub max_hold: Duration,
 }
 
 impl ConfigWaitLimits {
-    /// Limits for the times that an operator sets.
+    /// Limits for the times within which a configuration and a revocation have to take effect.
     #[must_use]
     pub fn new(apply: Duration, revocation: Option<Duration>) -> Self {
-        let part = |of_apply, of_revocation| {
-            let most = revocation.map_or(Duration::MAX, |most| most.mul_f64(of_revocation));
-            apply.mul_f64(of_apply).min(most)
+        let shortest = |apply_fraction, revocation_fraction| {
+            let limit =
+                revocation.map_or(Duration::MAX, |limit| limit.mul_f64(revocation_fraction));
+            apply.mul_f64(apply_fraction).min(limit)
         };
         Self {
-            max_watch: part(WATCH_OF_APPLY, WATCH_OF_REVOCATION),
-            max_hold: part(HOLD_OF_APPLY, HOLD_OF_REVOCATION),
+            max_watch: shortest(WATCH_APPLY_FRACTION, WATCH_REVOCATION_FRACTION),
+            max_hold: shortest(HOLD_APPLY_FRACTION, HOLD_REVOCATION_FRACTION),
         }
     }
 }
 
-/// How old a node's configuration may be.
+/// Largest ages of a node's configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigAgeLimits {
-    /// Past this a key or route that the configuration lacks may have been added.
+    /// Largest age to deny a key or route that the configuration lacks: later it may have been
+    /// added.
     pub max_age_to_deny: Duration,
-    /// Past this a key that it has may have been taken away; `None` where operators take
-    /// that into account.
+    /// Largest age to serve a key that the configuration has: later it may have been revoked.
+    /// `None` if operators set no limit.
     pub max_age_to_serve: Option<Duration>,
 }
 
 impl ConfigAgeLimits {
-    /// Limits for the times that an operator sets.
+    /// Limits for the times within which a configuration and a revocation have to take effect.
     #[must_use]
     pub fn new(apply: Duration, revocation: Option<Duration>) -> Self {
         Self {
             max_age_to_deny: apply,
-            max_age_to_serve: revocation.map(|revocation| revocation.mul_f64(REVOCATION_PART)),
+            max_age_to_serve: revocation
+                .map(|revocation| revocation.mul_f64(REVOCATION_AGE_FRACTION)),
         }
     }
 
-    /// Whether calls with a key may be served by a configuration of this age.
+    /// Whether calls with a key may be served with a configuration of this age.
     #[must_use]
     pub fn may_serve(&self, age: Option<Duration>) -> bool {
-        let is_young = |limit| age.is_some_and(|age| age <= limit);
-        self.max_age_to_serve.is_none_or(is_young)
+        let is_fresh = |limit| age.is_some_and(|age| age <= limit);
+        self.max_age_to_serve.is_none_or(is_fresh)
     }
 }
 
-/// Why a call is not let in.
+/// Why a call is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// It needs a key and has none.
+    /// The call needs a key and has none.
     NoKey,
-    /// No account has its key.
+    /// No account has the key.
     UnknownKey,
-    /// This node cannot tell: its configuration may be too old.
+    /// This node cannot decide, since its configuration may be too old.
     StaleConfig,
 }
 
-/// What is asked for.
+/// Purpose of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Something is to run.
+    /// To run a request.
     Run,
-    /// What an account has submitted is to be read or ended: it runs nothing, so that a
-    /// trainer reads on while the store is away.
+    /// To read or end a submission of the account. Nothing runs, so the age of the configuration
+    /// does not count, and a trainer can read on while the store is unavailable.
     Manage,
 }
 
-/// A call as far as its account goes.
+/// The properties of a call that decide on its account.
 #[derive(Debug, Clone, Copy)]
 pub struct AccessRequest<'a> {
-    /// The key that came with it.
+    /// The key that the client sent.
     pub key: Option<&'a ApiKey>,
-    /// It needs none.
+    /// Whether the call needs no key.
     pub is_public: bool,
-    /// What is asked for.
+    /// Purpose of the call.
     pub purpose: Purpose,
 }
 
-/// Name of the account that a call is for; `None` if it is for nobody in particular.
+/// Name of the account that a call is for; `None` if it is anonymous.
 ///
 /// # Errors
 ///
-/// It is not let in.
+/// The call is denied.
 pub fn authenticate<'a>(
     config: &'a Config,
     access: AccessRequest<'_>,
@@ -125,13 +127,13 @@
     if config.accounts.is_empty() {
         return Ok(None);
     }
-    let holder = access.key.and_then(|key| config.accounts.find_by_key(key));
-    match (holder, access.key) {
+    let account = access.key.and_then(|key| config.accounts.find_by_key(key));
+    match (account, access.key) {
         (None, _) if access.is_public => Ok(None),
         (Some(_), _) if access.purpose == Purpose::Run && !limits.may_serve(age) => {
             Err(Denied::StaleConfig)
         }
-        (Some(holder), _) => Ok(Some(holder)),
+        (Some(account), _) => Ok(Some(account)),
         (None, _) if age.is_none_or(|age| age > limits.max_age_to_deny) => Err(Denied::StaleConfig),
         (None, None) => Err(Denied::NoKey),
         (None, Some(_)) => Err(Denied::UnknownKey),
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! The door of a node: what clients, the balancer and other nodes ask, and who may.
+//! Handles the requests of clients, the balancer and other nodes, and authenticates clients.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -69,31 +69,31 @@
 use crate::usage::counter::USAGE_PATH;
 use crate::usage::counter::UsageCounter;
 
-/// Largest body of a store call that is made for another node: the store's values end
-/// at a megabyte.
-const STORE_CALL_LIMIT_BYTES: usize = 2 << 20;
+/// Largest body of a store call that is made for another node; the store limits values to a
+/// megabyte.
+const MAX_STORE_CALL_BYTES: usize = 2 << 20;
 
-/// Largest body of counts: some windows of all accounts.
-const USAGE_LIMIT_BYTES: usize = 1 << 20;
+/// Largest body of usage counts: a few windows of all accounts.
+const MAX_USAGE_BYTES: usize = 1 << 20;
 
-/// Largest body of a node's question for a home.
-const QUESTION_LIMIT_BYTES: usize = 4 << 10;
+/// Largest body of a node's request for a home.
+const MAX_HOME_QUESTION_BYTES: usize = 4 << 10;
 
-/// Time for such a call, a waiting watch included.
+/// Timeout of a store call that is made for another node, including the wait of a watch.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// When a caller may come back whose route this node may not know yet: its retry reaches
-/// another node, and a follower that lost its seed finds another one within a second.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// Time after which a client may retry a call while this node's configuration may be too old: the
+/// retry goes to another node, and a node that lost its seed follows another one within a second.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// How long a request waits for a node's first configuration: many times as long as a list
-/// takes. A store that is away is away for seconds.
-const CONFIG_WAIT: Duration = Duration::from_millis(200);
+/// Longest wait of a request for a node's first configuration: many times as long as listing it
+/// takes. Waiting longer is no use, since a store that is unavailable stays so for seconds.
+const MAX_CONFIG_WAIT: Duration = Duration::from_millis(200);
 
-/// Most of a client's own patience that this may take.
-const CONFIG_WAIT_PART: f64 = 0.25;
+/// Largest fraction of a client's timeout that a request waits for the first configuration.
+const CONFIG_WAIT_FRACTION: f64 = 0.25;
 
-/// Answers clients, the balancer and other nodes with the parts of this node.
+/// Answers clients, the balancer and other nodes by means of the components of this node.
 #[derive(Debug)]
 pub(crate) struct RequestHandler {
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -119,50 +119,54 @@
 }
 
 impl RequestHandler {
-    /// Answers a client, or the balancer.
+    /// Answers a request of a client or the balancer.
     pub(crate) async fn handle_client(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Response<Body> {
         let (head, body) = request.into_parts();
         match self.dialect.client_call(&head) {
-            ClientCall::Ready => self.ready(),
-            ClientCall::Routed(routed) => self.routed(&routed, head, body).await,
-            ClientCall::Asked(asked) => self.asked(&asked, head).await,
+            ClientCall::Ready => self.readiness(),
+            ClientCall::Routed(routed) => self.answer_routed(&routed, head, body).await,
+            ClientCall::Asked(question) => self.answer_question(&question, head).await,
         }
     }
 
     /// Answers a client's question about a submission.
-    async fn asked(&self, asked: &AskedCall, mut head: http::request::Parts) -> Response<Body> {
-        let Some(config) = self.first_config(None).await else {
-            return self.asked_by_nobody(asked, head).await;
+    async fn answer_question(
+        &self,
+        question: &AskedCall,
+        mut head: http::request::Parts,
+    ) -> Response<Body> {
+        let Some(config) = self.wait_for_config(None).await else {
+            return self.anonymous_question(question, head).await;
         };
         let access = AccessRequest {
-            key: asked.key.as_ref(),
-            is_public: config.has_public_rollouts(&asked.host),
+            key: question.key.as_ref(),
+            is_public: config.has_public_rollouts(&question.host),
             purpose: Purpose::Manage,
         };
-        let account = match self.authenticate(&config, access, &asked.submission) {
+        let account = match self.authenticate(&config, access, &question.submission) {
             Ok(account) => account,
-            Err(denied) => return denial(denied),
+            Err(denied) => return denial_answer(denied),
         };
         set_account_header(&mut head.headers, account);
         self.submissions
-            .answer_question(RequestOrigin::Client, account, asked, &head)
+            .answer_question(RequestOrigin::Client, account, question, &head)
             .await
     }
 
-    /// Answers a question while no configuration tells whose key came with it: what
-    /// belongs to no account can be read by all, and of the rest nothing is said yet.
-    async fn asked_by_nobody(
+    /// Answers a question while there is no configuration to tell whose key came with it: what
+    /// belongs to no account can be read by all; for anything else the answer is not ready.
+    async fn anonymous_question(
         &self,
-        asked: &AskedCall,
+        question: &AskedCall,
         mut head: http::request::Parts,
     ) -> Response<Body> {
         set_account_header(&mut head.headers, None);
         let answer = self
             .submissions
-            .answer_question(RequestOrigin::Client, None, asked, &head)
+            .answer_question(RequestOrigin::Client, None, question, &head)
             .await;
         if answer.status() == StatusCode::NOT_FOUND {
             return LiveCalls::not_ready();
@@ -170,7 +174,7 @@
         answer
     }
 
-    /// Name of the account that a call is for.
+    /// Name of the account that a call is for; a denial is logged.
     fn authenticate<'a>(
         &self,
         config: &'a Config,
@@ -180,7 +184,7 @@
         let age = self.fleet.config_age();
         let account = authenticate(config, access, age, &self.age_limits());
         if let Err(denied) = account {
-            self.note_denied(denied, config.version, age, call);
+            self.log_denied(denied, config.version, age, call);
         }
         account
     }
@@ -190,8 +194,8 @@
         ConfigAgeLimits::new(settings.config_apply(), settings.revocation())
     }
 
-    fn note_denied(&self, denied: Denied, version: u64, age: Option<Duration>, call: &str) {
-        let reason = reason_of_denial(denied);
+    fn log_denied(&self, denied: Denied, version: u64, age: Option<Duration>, call: &str) {
+        let reason = denial_reason(denied);
         self.journal.count(match denied {
             Denied::NoKey => "door.no_key",
             Denied::UnknownKey => "door.unknown_key",
@@ -209,7 +213,7 @@
         );
     }
 
-    /// Answers another node.
+    /// Answers a request of another node.
     pub(crate) async fn handle_peer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
         if head.uri.path() == PING_PATH {
@@ -219,47 +223,47 @@
             return json(StatusCode::OK, &self.holder.confirm_or_resign().await);
         }
         if head.uri.path() == USAGE_PATH {
-            return self.usage(&head, body).await;
+            return self.exchange_usage(&head, body).await;
         }
         if let Some(uri) = store_uri_from_peer(&head.uri) {
             return self.call_store(uri, &head, body).await;
         }
         if let Some(name) = head.uri.path().strip_prefix(RELAY_PATH) {
-            self.note_member(&head.headers);
-            return self.pass_on(name, head.uri.query()).await;
+            self.record_member(&head.headers);
+            return self.relay_to_follower(name, head.uri.query()).await;
         }
         if head.uri.path() == HOME_PATH {
-            return self.name_home(body).await;
+            return self.offer_home(body).await;
         }
         let account = account_from_header(&head.headers);
         match self.dialect.client_call(&head) {
-            ClientCall::Asked(asked) => {
+            ClientCall::Asked(question) => {
                 let account = account.as_deref();
                 self.submissions
-                    .answer_question(RequestOrigin::Peer, account, &asked, &head)
+                    .answer_question(RequestOrigin::Peer, account, &question, &head)
                     .await
             }
             ClientCall::Routed(routed) if !self.tasks.is_draining() => {
-                let submitted = Submitted {
+                let incoming = IncomingSubmission {
                     origin: RequestOrigin::Peer,
                     routed: &routed,
                     account: account.as_deref(),
                     head: &head,
                     limit_bytes: self.fleet.config().max_body_bytes,
                 };
-                self.submitted(submitted, body).await
+                self.submit(incoming, body).await
             }
             ClientCall::Routed(_) => empty(StatusCode::SERVICE_UNAVAILABLE),
             ClientCall::Ready => empty(StatusCode::NOT_FOUND),
         }
     }
 
-    /// Takes in what another node has counted, or tells what this one was told.
-    async fn usage(&self, head: &http::request::Parts, body: Incoming) -> Response<Body> {
+    /// Merges usage counts from another node, or returns all counts that this node knows.
+    async fn exchange_usage(&self, head: &http::request::Parts, body: Incoming) -> Response<Body> {
         if head.method == Method::GET {
             return with_json(StatusCode::OK, self.usage_counter.snapshot());
         }
-        let Some(body) = read_body(body, USAGE_LIMIT_BYTES).await else {
+        let Some(body) = read_body(body, MAX_USAGE_BYTES).await else {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match self.usage_counter.handle_counts(&body) {
@@ -268,14 +272,14 @@
         }
     }
 
-    /// Makes a call of the store for a node that it turns away.
+    /// Forwards a store call of a node that cannot reach the store.
     async fn call_store(
         &self,
         uri: Uri,
         head: &http::request::Parts,
         body: Incoming,
     ) -> Response<Body> {
-        let Some(body) = read_body(body, STORE_CALL_LIMIT_BYTES).await else {
+        let Some(body) = read_body(body, MAX_STORE_CALL_BYTES).await else {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
         let mut request = Request::new(Full::new(body));
@@ -296,8 +300,8 @@
         }
     }
 
-    /// Takes in what a node that asks tells of itself.
-    fn note_member(&self, headers: &HeaderMap) {
+    /// Records what a node that polls this seed announces about itself.
+    fn record_member(&self, headers: &HeaderMap) {
         let Some(value) = headers.get(MEMBER_HEADER) else {
             return;
         };
@@ -310,9 +314,9 @@
         }
     }
 
-    /// Names a home for a model.
-    async fn name_home(&self, body: Incoming) -> Response<Body> {
-        let Some(body) = read_body(body, QUESTION_LIMIT_BYTES).await else {
+    /// Offers a home for a model.
+    async fn offer_home(&self, body: Incoming) -> Response<Body> {
+        let Some(body) = read_body(body, MAX_HOME_QUESTION_BYTES).await else {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match serde_json::from_slice::<HomeQuestion>(&body) {
@@ -321,8 +325,8 @@
         }
     }
 
-    /// Passes on what the store shows to a node that takes this one for a seed.
-    async fn pass_on(&self, name: &str, query: Option<&str>) -> Response<Body> {
+    /// Answers a node that follows the store through this seed.
+    async fn relay_to_follower(&self, name: &str, query: Option<&str>) -> Response<Body> {
         let question = query.and_then(RelayRequest::from_query);
         let (Some(kind), Some(question)) = (kind_from_path_name(name), question) else {
             return empty(StatusCode::NOT_FOUND);
@@ -334,36 +338,36 @@
         json(StatusCode::OK, &answer.relative_to(arrived))
     }
 
-    /// Not ready before a configuration is known, while it may be too old for calls with a
-    /// key, or once a drain has begun.
-    fn ready(&self) -> Response<Body> {
+    /// Answers the balancer. A node is not ready without a configuration, while that may be too
+    /// old for calls with a key, or once it drains.
+    fn readiness(&self) -> Response<Body> {
         let config = self.fleet.config();
-        let serves_keys = || self.age_limits().may_serve(self.fleet.config_age());
-        let knows_enough = config.accounts.is_empty() || serves_keys();
-        let ready = config.version > 0 && knows_enough && !self.tasks.is_draining();
-        empty(if ready {
+        let may_serve_keys = || self.age_limits().may_serve(self.fleet.config_age());
+        let has_recent_config = config.accounts.is_empty() || may_serve_keys();
+        let is_ready = config.version > 0 && has_recent_config && !self.tasks.is_draining();
+        empty(if is_ready {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         })
     }
 
-    async fn routed(
+    async fn answer_routed(
         &self,
         routed: &RoutedCall,
         mut head: http::request::Parts,
         body: Incoming,
     ) -> Response<Body> {
-        let Some(config) = self.first_config(routed.timeout).await else {
+        let Some(config) = self.wait_for_config(routed.timeout).await else {
             return LiveCalls::not_ready();
         };
         let Some(route) = config.route(&routed.host, head.uri.path()) else {
-            return self.no_route();
+            return self.no_route_answer();
         };
         let access = access_request_of(route, routed);
         let account = match self.authenticate(&config, access, &routed.request_id) {
             Ok(account) => account,
-            Err(denied) => return denial(denied),
+            Err(denied) => return denial_answer(denied),
         };
         if !config.accounts.is_empty() {
             head.headers.remove(header::AUTHORIZATION);
@@ -373,44 +377,44 @@
             return live.answer(routed, account, route, &head, body).await;
         }
         set_account_header(&mut head.headers, account);
-        let submitted = Submitted {
+        let incoming = IncomingSubmission {
             origin: RequestOrigin::Client,
             routed,
             account,
             head: &head,
             limit_bytes: config.max_body_bytes,
         };
-        self.submitted(submitted, body).await
+        self.submit(incoming, body).await
     }
 
-    fn no_route(&self) -> Response<Body> {
+    fn no_route_answer(&self) -> Response<Body> {
         if self.fleet.is_config_fresh() {
             refusal(Outcome::BadRequest(StatusCode::NOT_FOUND), "no-route")
         } else {
-            refusal(Outcome::NotRun(COME_BACK), "configuration-old")
+            refusal(Outcome::NotRun(RETRY_AFTER), "configuration-old")
         }
     }
 
-    /// The configuration; waited for a while by a node that has just started.
+    /// The configuration; on a node that has just started, waits for it up to a limit.
     ///
-    /// After a loss of power clients reach nodes that have not read it yet, since the balancer
-    /// goes on with all nodes where none is ready. Refused, they would come back too late.
-    async fn first_config(&self, patience: Option<Duration>) -> Option<Arc<Config>> {
+    /// After a loss of power clients reach nodes that have no configuration yet, since the
+    /// balancer uses all nodes if none is ready. Refused calls would be retried too late.
+    async fn wait_for_config(&self, timeout: Option<Duration>) -> Option<Arc<Config>> {
         if !self.mechanisms.is_enabled(Mechanism::FirstConfig) {
             let config = self.fleet.config();
             return (config.version > 0).then_some(config);
         }
-        let patience = patience.unwrap_or(CONFIG_WAIT);
-        let wait = CONFIG_WAIT.min(patience.mul_f64(CONFIG_WAIT_PART));
-        // Late or not, the look below tells.
+        let timeout = timeout.unwrap_or(MAX_CONFIG_WAIT);
+        let wait = MAX_CONFIG_WAIT.min(timeout.mul_f64(CONFIG_WAIT_FRACTION));
+        // A timeout needs no handling: the version is checked below.
         _ = within(wait, self.fleet.wait_until_configured()).await;
         let config = self.fleet.config();
         (config.version > 0).then_some(config)
     }
 
-    async fn submitted(&self, submitted: Submitted<'_>, body: Incoming) -> Response<Body> {
-        let Submitted { routed, head, .. } = submitted;
-        let Some(body) = read_body(body, submitted.limit_bytes).await else {
+    async fn submit(&self, incoming: IncomingSubmission<'_>, body: Incoming) -> Response<Body> {
+        let IncomingSubmission { routed, head, .. } = incoming;
+        let Some(body) = read_body(body, incoming.limit_bytes).await else {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             return refusal(Outcome::BadRequest(status), "body-too-large");
         };
@@ -425,25 +429,31 @@
                 return refusal(Outcome::BadRequest(status), "malformed-submission");
             }
         };
-        let posted = SubmissionRequest {
+        let submission_request = SubmissionRequest {
             host: &routed.host,
             head,
             body: &body,
-            account: submitted.account,
+            account: incoming.account,
         };
-        match submitted.origin {
+        match incoming.origin {
             RequestOrigin::Client => {
-                let draining = self.tasks.is_draining();
-                self.submissions.submit(&posted, submission, draining).await
+                let is_draining = self.tasks.is_draining();
+                self.submissions
+                    .submit(&submission_request, submission, is_draining)
+                    .await
+            }
+            RequestOrigin::Peer => {
+                self.submissions
+                    .accept(&submission_request, submission)
+                    .await
             }
-            RequestOrigin::Peer => self.submissions.accept(&posted, submission).await,
         }
     }
 }
 
 /// A submission as it arrives, before its body is read.
 #[derive(Debug, Clone, Copy)]
-struct Submitted<'a> {
+struct IncomingSubmission<'a> {
     origin: RequestOrigin,
     routed: &'a RoutedCall,
     account: Option<&'a str>,
@@ -459,7 +469,7 @@
     }
 }
 
-const fn reason_of_denial(denied: Denied) -> &'static str {
+const fn denial_reason(denied: Denied) -> &'static str {
     match denied {
         Denied::NoKey => "no-key",
         Denied::UnknownKey => "unknown-key",
@@ -467,11 +477,11 @@
     }
 }
 
-/// The answer to a call that is not let in.
-fn denial(denied: Denied) -> Response<Body> {
-    let reason = reason_of_denial(denied);
+/// The answer to a call that is denied.
+fn denial_answer(denied: Denied) -> Response<Body> {
+    let reason = denial_reason(denied);
     if denied == Denied::StaleConfig {
-        return refusal(Outcome::NotRun(COME_BACK), reason);
+        return refusal(Outcome::NotRun(RETRY_AFTER), reason);
     }
     let mut answer = refusal(Outcome::BadRequest(StatusCode::UNAUTHORIZED), reason);
     let scheme = HeaderValue::from_static("Bearer");
