--- a/crates/node/src/connection_pool.rs
+++ b/crates/node/src/connection_pool.rs
@@ -41,8 +41,8 @@
 /// peer sends neither an answer nor a reset.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Idle time before the first TCP keepalive probe, and between probes. Together with [`KEEPALIVE_PROBES`]
-/// it limits how long a dead connection stays open.
+/// Idle time before the first TCP keepalive probe, and between probes. Together with
+/// [`KEEPALIVE_PROBES`] it limits how long a dead connection stays open.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of unanswered keepalive probes after which a connection is closed.
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -451,8 +451,8 @@
     /// event if there are many.
     fn log_listed(&self, list: &UpstreamList, names: &[String]) {
         if names.len() > MAX_SEPARATE_EVENTS {
-            let (entries, news) = (list.entries.len(), names.len());
-            let fields: [(&str, &dyn Display); 2] = [("entries", &entries), ("news", &news)];
+            let (entries, changed) = (list.entries.len(), names.len());
+            let fields: [(&str, &dyn Display); 2] = [("entries", &entries), ("news", &changed)];
             return self.journal.event("upstreams_listed", &fields);
         }
         for name in names {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -57,7 +57,8 @@
 /// Allowance for a request that was routed by a node's previous state and is still in flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(200);
 
-/// Longest wait of one watch on a seed, so that the age of its data stays below [`MIN_ALLOWED_AGE`].
+/// Longest wait of one watch on a seed. It keeps the age of the seed's data below
+/// [`MIN_ALLOWED_AGE`].
 pub const SEED_WATCH_WAIT: Duration = Duration::from_secs(1);
 
 /// How long a seed holds a request for which it has no changes.
@@ -128,14 +129,14 @@
     /// The changes that a node has to apply.
     #[must_use]
     pub fn into_changes(self) -> Vec<Change> {
-        let object = |passed: RelayedObject| match passed.value {
+        let object = |relayed: RelayedObject| match relayed.value {
             Some(value) => Change::Put(Object {
-                name: passed.name,
-                revision: passed.revision,
+                name: relayed.name,
+                revision: relayed.revision,
                 value,
-                reported: passed.reported,
+                reported: relayed.reported,
             }),
-            None => Change::Removed(passed.name),
+            None => Change::Removed(relayed.name),
         };
         let changes = self.objects.into_iter().map(object);
         if !self.is_full_list {
@@ -426,8 +427,8 @@
             changed.as_mut().enable();
             let answer = relayed_kind.lock().answer(request, now());
             let waited = tokio::time::Instant::now() >= until;
-            let is_news = answer.is_full_list || !answer.objects.is_empty();
-            if waited || is_news || !self.is_fresh(answer.age_ms) {
+            let has_changes = answer.is_full_list || !answer.objects.is_empty();
+            if waited || has_changes || !self.is_fresh(answer.age_ms) {
                 return answer;
             }
             // After a change or the timeout, the loop checks again.
@@ -503,18 +504,18 @@
             Relevance::RoutingChanges => mirrored.routing_revision > since,
             Relevance::Unrequested => false,
         });
-        let mut later: Vec<(u64, RelayedObject)> = changed
+        let mut merged: Vec<(u64, RelayedObject)> = changed
             .map(|mirrored| (mirrored.changed_revision, mirrored.object.clone()))
             .collect();
         let removed = self
             .removed
             .iter()
             .filter(|(revision, _)| *revision > since);
-        later.extend(
+        merged.extend(
             removed.map(|(revision, name)| (*revision, RelayedObject::removed(*revision, name))),
         );
-        later.sort_by_key(|(revision, _)| *revision);
-        later.into_iter().map(|(_, passed)| passed).collect()
+        merged.sort_by_key(|(revision, _)| *revision);
+        merged.into_iter().map(|(_, object)| object).collect()
     }
 
     fn apply(
--- a/crates/node/tests/connection_pool.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that a node keeps.
+//! The connection pool of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nkeep-alive: timeout=60\r\n\r\n";
 
-/// Answers every request until the other side closes.
+/// Answers every request until the peer closes the connection.
 async fn answer(mut stream: TcpStream, open: Arc<AtomicUsize>) {
     let mut request = [0; 1_024];
     while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
@@ -43,8 +43,8 @@
     address
 }
 
-/// A node that ordered weights at thousands of engines kept a connection to each of them,
-/// ran out of descriptors as the pool grew, and took no more callers.
+/// Guards against unbounded idle connections: a node that ordered weights at thousands of engines
+/// kept a connection to each, ran out of file descriptors and accepted no more callers.
 #[tokio::test]
 async fn idle_connections_are_bounded_in_all() {
     let open = Arc::new(AtomicUsize::new(0));
--- a/crates/node/tests/interest.rs
+++ b/crates/node/tests/interest.rs
@@ -1,4 +1,4 @@
-//! What a node wants to know of upstreams.
+//! The entries of upstreams to which a node subscribes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -46,8 +46,8 @@
     }
 }
 
-/// What calls need, and the slices of these models besides.
-fn parts(slices: &[(u64, u32)]) -> Subscription {
+/// The subscription that calls need, plus the slices of these models.
+fn filtered(slices: &[(u64, u32)]) -> Subscription {
     let slice = |(model, zeros): &(u64, u32)| ModelSlice {
         model: *model,
         slice: FleetSlice {
@@ -65,14 +65,18 @@
     engines: 40,
 };
 
-/// Guards against nodes that take in every load of every engine: after a step, most nodes of
-/// a fleet did in the end, since homes move.
+/// Guards against nodes that receive every load of every engine forever after a step: since homes
+/// move, this would in the end be most nodes of a fleet.
 #[test]
 fn a_node_that_drafts_wants_everything_for_a_while() {
     let interest = Interest::default();
     let start = Instant::now();
     interest.set_config(&config());
-    assert_eq!(interest.subscription(), parts(&[]), "what its calls need");
+    assert_eq!(
+        interest.subscription(),
+        filtered(&[]),
+        "what its calls need"
+    );
     interest.set_drafted_models(start, &[MODEL]);
     assert_eq!(interest.subscription(), Subscription::All, "at once");
     interest.set_drafted_models(start + Duration::from_secs(4), &[]);
@@ -84,7 +88,7 @@
     interest.set_drafted_models(start + Duration::from_secs(30), &[]);
     assert_eq!(
         interest.subscription(),
-        parts(&[]),
+        filtered(&[]),
         "no step comes any more"
     );
     interest.set_may_order_weights(true);
@@ -95,7 +99,7 @@
     );
 }
 
-/// Guards against a fleet in which every node hears of every version of every model.
+/// Guards against a fleet in which every node receives every version of every model.
 #[tokio::test(start_paused = true)]
 async fn versions_are_for_nodes_that_follow_engines() {
     let interest = Interest::default();
@@ -115,54 +119,54 @@
 
 struct Case {
     name: &'static str,
-    /// Entries of the whole list, one after the other.
-    listed: &'static [usize],
+    /// Successive numbers of entries in the full list.
+    total_upstreams: &'static [usize],
     subscription: Subscription,
 }
 
-/// Guards against a home that follows a whole fleet for one model, and against one that asks
-/// for its engines anew with each engine that comes or goes.
+/// Guards against a home that follows all engines of a large fleet for one model, and against one
+/// that requests its engines again each time an engine is added or removed.
 #[test]
 fn a_home_wants_a_part_of_a_large_fleet() {
     let cases = [
         Case {
             name: "a small fleet, whole",
-            listed: &[600],
+            total_upstreams: &[600],
             subscription: Subscription::All,
         },
         Case {
             name: "a fleet",
-            listed: &[10_000],
-            subscription: parts(&[(7, 4)]),
+            total_upstreams: &[10_000],
+            subscription: filtered(&[(7, 4)]),
         },
         Case {
             name: "twice the fleet",
-            listed: &[20_000],
-            subscription: parts(&[(7, 5)]),
+            total_upstreams: &[20_000],
+            subscription: filtered(&[(7, 5)]),
         },
         Case {
             name: "a few engines less than the narrower slice needs",
-            listed: &[10_300, 10_200],
-            subscription: parts(&[(7, 5)]),
+            total_upstreams: &[10_300, 10_200],
+            subscription: filtered(&[(7, 5)]),
         },
         Case {
             name: "a quarter of the fleet is left",
-            listed: &[10_300, 2_600],
-            subscription: parts(&[(7, 3)]),
+            total_upstreams: &[10_300, 2_600],
+            subscription: filtered(&[(7, 3)]),
         },
         Case {
             name: "hardly any is left",
-            listed: &[10_000, 300],
+            total_upstreams: &[10_000, 300],
             subscription: Subscription::All,
         },
     ];
     for case in cases {
         let interest = Interest::default();
         interest.set_config(&config());
-        interest.set_total_upstreams(case.listed[0]);
+        interest.set_total_upstreams(case.total_upstreams[0]);
         interest.set_drafted_models(Instant::now(), &[MODEL]);
-        for listed in case.listed {
-            interest.set_total_upstreams(*listed);
+        for total_upstreams in case.total_upstreams {
+            interest.set_total_upstreams(*total_upstreams);
         }
         assert_eq!(interest.subscription(), case.subscription, "{}", case.name);
         let models = interest.models();
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Which follower asks a store that is away.
+//! Only one follower probes an unavailable store.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     ObjectKind::Duties,
 ];
 
-/// The store turns a node away for 5 s. Each of the node's four followers asked again
-/// each 600 ms, and 73 nodes made 1,300 calls that were all turned away and all priced.
+/// The store rejects a node's calls for 5 s. Without the guard, each of the node's four followers
+/// retried every 600 ms, and 73 nodes made 1,300 calls that were all rejected and all charged.
 #[tokio::test(start_paused = true)]
-async fn one_follower_asks_a_store_that_is_away() {
+async fn one_follower_probes_an_unavailable_store() {
     let outage = Outage::default();
     let started = Instant::now();
     let followers = KINDS.map(|kind| {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_tells_of_an_outage() {
+fn errors_that_indicate_an_outage() {
     let cases = [
         Case {
             name: "turned away",
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a node runs.
+//! Reloading the settings file while a node runs.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -11,12 +11,12 @@
 use firweir_node::reload::SettingsReloader;
 use firweir_node::settings::NodeSettings;
 
-/// A settings file that is removed with it.
+/// A settings file that is deleted when dropped.
 struct File(PathBuf);
 
 impl Drop for File {
     fn drop(&mut self) {
-        // A file that is left behind harms nothing.
+        // A leftover file is harmless.
         drop(std::fs::remove_file(&self.0));
     }
 }
@@ -55,21 +55,21 @@
 struct Case {
     name: &'static str,
     text: String,
-    /// Something else is in force then.
-    taken: bool,
+    /// The settings in force change.
+    is_changed: bool,
     seed: &'static str,
     lease_ms: u64,
     grace_s: u64,
 }
 
-/// Guards against nodes that go on with seeds which are gone, or take in half of a settings file.
+/// Guards against nodes that keep using removed seeds, or apply half of a settings file.
 #[tokio::test]
 async fn what_a_changed_file_puts_in_force() {
     let cases = [
         Case {
             name: "nothing new",
             text: text("127.0.0.1:2", 3_000, 8),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:2",
             lease_ms: 3_000,
             grace_s: 8,
@@ -77,7 +77,7 @@
         Case {
             name: "another seed",
             text: text("127.0.0.1:3", 3_000, 8),
-            taken: true,
+            is_changed: true,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -85,7 +85,7 @@
         Case {
             name: "half a file",
             text: text("127.0.0.1:4", 9_000, 8)[..80].to_owned(),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -93,7 +93,7 @@
         Case {
             name: "a key of the wrong type",
             text: text("127.0.0.1", 9_000, 8),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -101,7 +101,7 @@
         Case {
             name: "what needs a restart waits for it, the rest does not",
             text: text("127.0.0.1:3", 9_000, 20),
-            taken: true,
+            is_changed: true,
             seed: "127.0.0.1:3",
             lease_ms: 9_000,
             grace_s: 8,
@@ -111,7 +111,7 @@
     let (current_settings, mut reload) = started(&file);
     for case in cases {
         file.write(&case.text);
-        assert_eq!(reload.reload_if_changed(), case.taken, "{}", case.name);
+        assert_eq!(reload.reload_if_changed(), case.is_changed, "{}", case.name);
         assert!(!reload.reload_if_changed(), "{}: once", case.name);
         let now = current_settings.now();
         assert_eq!(now.seeds[0].to_string(), case.seed, "{}", case.name);
--- a/crates/node/tests/roster.rs
+++ b/crates/node/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The nodes that a seed knows, and the homes that it names.
+//! The nodes that a seed knows, and the homes that it offers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,22 +36,22 @@
 struct Case {
     name: &'static str,
     members: Vec<Member>,
-    /// Node that is home of another model already.
-    settled: Option<u16>,
-    /// Node that is out of the question.
+    /// Node that is already the home of another model.
+    assigned: Option<u16>,
+    /// Node that must not be offered.
     excluded: Option<u16>,
-    /// Time since the members were heard of.
+    /// Time since the members last announced themselves.
     silent_ms: u64,
     home: Option<u16>,
 }
 
-/// Guards against homes at nodes that drain, start, are gone or have enough to bear.
+/// Guards against homes on nodes that drain, are starting, are down or already carry other models.
 #[test]
-fn who_is_named() {
+fn which_home_is_offered() {
     let case = |name, members, home| Case {
         name,
         members,
-        settled: None,
+        assigned: None,
         excluded: None,
         silent_ms: 0,
         home,
@@ -74,7 +74,7 @@
             ..case("the one that does not answer", both(), Some(2))
         },
         Case {
-            settled: Some(1),
+            assigned: Some(1),
             ..case("half of a large one is a small one", both(), Some(2))
                 .with_capacity_of_second(0.6)
         },
@@ -89,8 +89,8 @@
         for member in case.members {
             roster.record_member(start, member);
         }
-        let settled: Vec<HomeAssignment> = case
-            .settled
+        let assigned: Vec<HomeAssignment> = case
+            .assigned
             .map(|node| HomeAssignment {
                 model: "other".to_owned(),
                 address: address(node),
@@ -98,7 +98,7 @@
             .into_iter()
             .collect();
         let now = start + Duration::from_millis(case.silent_ms);
-        let home = roster.home_for(now, &question("m", case.excluded), &settled);
+        let home = roster.home_for(now, &question("m", case.excluded), &assigned);
         let home = home.map(|offer| offer.home.address);
         assert_eq!(home, case.home.map(address), "{}", case.name);
     }
@@ -111,8 +111,8 @@
     }
 }
 
-/// Guards against two homes of one model: its first step comes again through another node
-/// before the list of duties shows the home.
+/// Guards against two homes of one model, when its first step is submitted again through another
+/// node before the home appears in the list of duties.
 #[test]
 fn a_model_gets_the_same_home_again() {
     let roster = Roster::default();
@@ -129,37 +129,36 @@
     assert_eq!(again, first);
 }
 
-/// Guards against homes that go back and forth between VMs that are lost together.
+/// Guards against homes that alternate between VMs that fail together.
 #[test]
-fn a_node_that_did_not_answer_is_named_again_once_it_asks() {
+fn a_node_that_did_not_answer_is_offered_again_once_it_polls() {
     let roster = Roster::default();
     let now = Instant::now();
     let both = [member(1, 1.0), member(2, 0.9), member(3, 0.1)];
     for member in both {
         roster.record_member(now, member);
     }
-    let named = |excluded| {
+    let offered_port = |excluded| {
         let home = roster.home_for(now, &question("m", excluded), &[]);
         home.map(|offer| offer.home.address.port())
     };
-    assert_eq!(named(Some(1)), Some(2));
-    assert_eq!(named(Some(2)), Some(3), "not the first one again");
+    assert_eq!(offered_port(Some(1)), Some(2));
+    assert_eq!(offered_port(Some(2)), Some(3), "not the first one again");
     roster.record_member(now, member(1, 1.0));
-    assert_eq!(named(Some(3)), Some(1), "it is back");
+    assert_eq!(offered_port(Some(3)), Some(1), "it is back");
 }
 
-/// Guards against a large fleet that is told in more words than a small one: what a node tells
-/// of itself does not grow.
+/// Guards against announcements that grow with the size of the fleet.
 #[test]
-fn what_a_node_tells_is_small() {
+fn announcements_are_small() {
     let runner = member(1, 1.0).runner;
     let local_member = LocalMember::new(Some(runner), 0.06);
     let header = local_member.header().expect("it takes other nodes");
     assert!(header.len() < 200, "{} bytes", header.len());
-    let told: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
-    assert!(!told.takes_steps, "it knows no configuration yet");
+    let announced: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
+    assert!(!announced.takes_steps, "it knows no configuration yet");
     local_member.set_takes_steps(true);
     let header = local_member.header().expect("as before");
-    let told: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
-    assert!(told.takes_steps);
+    let announced: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
+    assert!(announced.takes_steps);
 }
