--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What a platform's adapter translates. An adapter keeps no state and takes no
-//! decision: it turns the product's types into messages and back.
+//! Interface of a platform's adapter, which translates between the types of firweir and the
+//! platform's messages. An adapter is stateless and makes no decisions.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -29,16 +29,16 @@
 use crate::usage::tally::Window;
 
 quick_error! {
-    /// A message that is not what the protocol says.
+    /// Why a message does not conform to the protocol.
     #[derive(Debug)]
     pub enum BadMessage {
-        /// It is no JSON of the expected shape.
+        /// The message is no JSON of the expected structure.
         Json(err: serde_json::Error) {
             display("malformed message: {err}")
             source(err)
             from()
         }
-        /// One field has a value that means nothing.
+        /// A field has an invalid value.
         Field(name: &'static str) {
             display("field {name} has an unusable value")
         }
@@ -48,27 +48,27 @@
 /// A question about one submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Question {
-    /// Its results from a position on.
+    /// Asks for the results from a position on.
     Results {
-        /// Results before it are left out.
+        /// Number of results to skip.
         after: usize,
-        /// How long to wait for a first one.
+        /// Longest wait for a first result.
         wait: Duration,
     },
-    /// The body of an item.
+    /// Asks for the body of the item with this id.
     Item(String),
-    /// Its end.
+    /// Asks to end the submission.
     End,
 }
 
-/// What a client asks a node for.
+/// A request of a client, by what it asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientCall {
-    /// Whether this node takes requests.
+    /// Asks whether this node is ready for requests.
     Ready,
     /// A question about a submission.
     Asked(AskedCall),
-    /// Anything else goes by the routes.
+    /// Any other request; handled by the routes of the configuration.
     Routed(RoutedCall),
 }
 
@@ -77,61 +77,61 @@
 pub struct AskedCall {
     /// Id of the submission.
     pub submission: String,
-    /// What is asked.
+    /// The question.
     pub question: Question,
-    /// Host that the client asked.
+    /// Host that the request was sent to.
     pub host: String,
-    /// The key that came with it.
+    /// API key of the request.
     pub key: Option<ApiKey>,
 }
 
-/// What the head of a routed request says.
+/// The head of a routed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoutedCall {
-    /// Host that the client asked.
+    /// Host that the request was sent to.
     pub host: String,
     /// Id of this attempt; empty if the client sent none.
     pub request_id: String,
-    /// How long the client waits.
+    /// How long the client waits; `None` if it does not say.
     pub timeout: Option<Duration>,
-    /// The key that came with it.
+    /// API key of the request.
     pub key: Option<ApiKey>,
 }
 
 /// A page of results.
 #[derive(Debug)]
 pub struct ResultPage<'a> {
-    /// Items of the submission.
+    /// Number of items of the submission.
     pub total: usize,
-    /// Position behind the last result of the page.
+    /// Position after the last result of the page.
     pub next: usize,
     /// The results.
     pub results: &'a [ItemResult],
 }
 
-/// What the head of an upstream's answer says besides its status.
+/// The head of an upstream's answer, without its status.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Id of the request that it answers.
+    /// Id of the request that is answered.
     pub request_id: Option<String>,
     /// The upstream's proof of origin.
     pub proof: Option<String>,
-    /// The upstream says that it did not run the request.
+    /// Whether the upstream reports that it did not run the request.
     pub not_run: bool,
-    /// Version of the weights that make the answer.
+    /// Version of the weights that produce the answer.
     pub version: Option<u64>,
-    /// Load of the upstream, all its callers together.
+    /// Load of the upstream by all its callers together.
     pub load: Option<ReportedLoad>,
 }
 
 /// One event of an upstream's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number.
+    /// Number of the event.
     pub number: u64,
-    /// Its data.
+    /// Data of the event.
     pub data: String,
-    /// Version of the weights from this event on, where it changes.
+    /// Version of the weights from this event on; `None` if it is unchanged.
     pub version: Option<u64>,
 }
 
@@ -144,63 +144,63 @@
     pub host: &'a str,
     /// Upstream that is to run it.
     pub upstream: &'a Upstream,
-    /// Number of the last event that is known already; 0 for none.
+    /// Number of the last event that is already known; 0 for none.
     pub after_event: u64,
-    /// Account that has submitted the item.
+    /// Account that submitted the item.
     pub account: Option<&'a str>,
 }
 
-/// A request for the score of an item's whole text.
+/// A request for the score of an item's complete text.
 #[derive(Debug)]
 pub struct RewardRequest<'a> {
     /// The call.
     pub call: &'a RewardCall,
     /// Upstream that is to run it.
     pub upstream: &'a Upstream,
-    /// How long its answer is waited for.
+    /// Timeout of the request.
     pub timeout: Duration,
 }
 
 /// An order to load weights.
 #[derive(Debug)]
 pub struct WeightOrder<'a> {
-    /// What to load.
+    /// Model and version to load.
     pub load: &'a ModelVersion,
-    /// Samples that run go on under the new weights; else they finish first.
+    /// Whether running samples continue with the new weights; otherwise they finish first.
     pub keep_running: bool,
-    /// Who orders.
+    /// Name of the node that holds the duty of ordering.
     pub holder: &'a str,
-    /// Grows with each change of the holder.
+    /// Fencing token; grows with each change of the holder.
     pub epoch: u64,
     /// Upstream that is to load.
     pub upstream: &'a Upstream,
-    /// Orders that the upstream has accepted so far; else it refuses.
+    /// Number of orders that the upstream must have accepted so far; otherwise it refuses this one.
     pub expected_orders_accepted: u64,
 }
 
-/// What an upstream says to an order.
+/// Answer of an upstream to a weight order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It loads.
+    /// The upstream loads the weights.
     Accepted,
-    /// It has these weights.
+    /// The upstream already has these weights.
     Holds,
     /// Another order is in progress or was accepted meanwhile.
     Busy,
-    /// It never carries this order out.
+    /// The upstream will never carry out this order.
     Refused,
 }
 
 /// A report of the usage of accounts.
 #[derive(Debug)]
 pub struct UsageReport<'a> {
-    /// The window.
+    /// Window of time that is reported.
     pub window: Window,
-    /// Requests of the accounts that had any.
+    /// Numbers of requests of the accounts that had any.
     pub counts: &'a [AccountCount],
-    /// Who reports.
+    /// Name of the node that holds the duty of reporting.
     pub holder: &'a str,
-    /// Grows with each change of the holder.
+    /// Fencing token; grows with each change of the holder.
     pub epoch: u64,
 }
 
@@ -222,25 +222,25 @@
     pub epoch: u64,
 }
 
-/// What the platform says to a call that one node at a time makes.
+/// Answer of the platform to a call that only the holder of a duty makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It has taken it in.
+    /// The platform has accepted the call.
     Done,
-    /// It cannot be done now.
+    /// The call cannot be carried out now and may be retried.
     Later,
     /// The platform has no upstreams of this kind in this zone at the moment.
     Unavailable,
 }
 
-/// What an upstream reports of itself.
+/// State that an upstream reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// An order is in progress.
+    /// Whether a weight order is in progress.
     pub loading: bool,
-    /// When the upstream that reports started, as [`crate::model::Instance`] has it.
+    /// Start of the upstream's process, as in [`crate::model::Instance`].
     pub born_ms: u64,
-    /// Orders that were accepted since its start.
+    /// Number of orders that were accepted since its start.
     pub orders_accepted: u64,
     /// Models that it has loaded, sorted by name.
     pub models: Vec<ModelVersion>,
@@ -255,9 +255,9 @@
     Configuration,
     /// The list of upstreams.
     Upstreams,
-    /// Versions of weights that trainers named.
+    /// Versions of weights that trainers announced.
     WeightVersions,
-    /// Requests to empty VMs that have a disk.
+    /// Requests to evacuate VMs that have a disk.
     Evacuations,
     /// Heads of submissions.
     Submissions,
@@ -265,11 +265,11 @@
     SubmissionParts,
     /// Chunks of results.
     ResultChunks,
-    /// Texts of samples that are being made.
+    /// Texts of samples that are being generated.
     UnfinishedTexts,
-    /// Who holds a duty that one VM at a time has.
+    /// Holders of the duties that one VM at a time has.
     Duties,
-    /// What is reported of the usage of accounts, by window.
+    /// Reported usage of accounts, by window.
     UsageReports,
     /// The last orders of upstreams, by service and availability zone.
     ScaleOrders,
@@ -278,22 +278,22 @@
 /// An object of the platform's store.
 #[derive(Debug, Clone)]
 pub struct Object {
-    /// Its name within its kind.
+    /// Name within its kind.
     pub name: String,
     /// Revision of its last change.
     pub revision: u64,
-    /// Its value.
+    /// Value as JSON.
     pub value: Box<RawValue>,
-    /// What its keeper reports, if anything.
+    /// Whether it is reported as done; only evacuations are.
     pub reported: bool,
 }
 
 /// How old an answer of the store may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// It shows all that the store has confirmed.
+    /// The answer includes all writes that the store has confirmed.
     Newest,
-    /// It may be seconds old, and costs a tenth.
+    /// The answer may be some seconds old; the call costs a tenth of [`Freshness::Newest`].
     Seconds,
 }
 
@@ -313,7 +313,7 @@
     List {
         /// The kind.
         kind: ObjectKind,
-        /// Names up to this one are left out.
+        /// Name after which the list starts.
         after: String,
         /// How old the answer may be.
         freshness: Freshness,
@@ -322,9 +322,9 @@
     Watch {
         /// The kind.
         kind: ObjectKind,
-        /// Changes up to this revision are known.
+        /// Revision after which changes are wanted.
         since: u64,
-        /// How long the store may wait for a change.
+        /// Longest time that the store waits for a change.
         wait: Duration,
         /// How old the answer may be.
         freshness: Freshness,
@@ -372,11 +372,11 @@
 pub struct ObjectChange {
     /// The object, with its last value if it was deleted.
     pub object: Object,
-    /// It was deleted.
+    /// Whether the object was deleted.
     pub deleted: bool,
 }
 
-/// What the store answers.
+/// Answer of the store to a call.
 #[derive(Debug, Clone)]
 pub enum StoreAnswer {
     /// The object as it is now.
@@ -385,35 +385,35 @@
     Page {
         /// The objects.
         objects: Vec<Object>,
-        /// There are more behind them.
+        /// Whether there are more objects after them.
         more: bool,
         /// Revision of the store.
         revision: u64,
-        /// Objects that cannot be read; they are left out, and hide no other one.
+        /// Number of malformed objects; they are left out, and the others are listed.
         unreadable: usize,
     },
     /// Changes since the revision of the watch.
     Changes {
         /// The changes, oldest first.
         changes: Vec<ObjectChange>,
-        /// Revision to go on from.
+        /// Revision after which the next watch continues.
         revision: u64,
-        /// Changes that cannot be read; they are left out.
+        /// Number of malformed changes; they are left out.
         unreadable: usize,
     },
-    /// Done, with nothing to tell.
+    /// The call was carried out and returns nothing.
     Done,
 }
 
 quick_error! {
-    /// Why a call of the store brought nothing.
+    /// Why a call of the store failed.
     #[derive(Debug)]
     pub enum StoreError {
-        /// Nothing was done and a later try may succeed.
+        /// The store refused the call and did nothing; a retry may succeed.
         Refused(status: StatusCode) {
             display("refused with status {status}")
         }
-        /// No connection; nothing was sent.
+        /// There is no connection, and nothing was sent.
         Unreachable {
             display("unreachable")
         }
@@ -421,19 +421,19 @@
         Conflict {
             display("conflict")
         }
-        /// There is no such object.
+        /// The object does not exist.
         Missing {
             display("no such object")
         }
-        /// The changes since that revision are no longer known.
+        /// The store no longer has the changes since that revision.
         HistoryGone {
             display("history is gone")
         }
-        /// No answer: it may have been done, or be done later.
+        /// There is no answer; the call may have been carried out, or may be later.
         Unknown {
             display("no answer")
         }
-        /// The answer is not what the protocol says.
+        /// The answer does not conform to the protocol.
         Malformed(err: BadMessage) {
             display("{err}")
             source(err)
@@ -442,7 +442,7 @@
     }
 }
 
-/// Translates between the product and one platform.
+/// Translates between the types of firweir and the messages of one platform.
 pub trait Dialect: Send + Sync + Debug {
     /// Reads the head of a client's request.
     fn client_call(&self, head: &request::Parts) -> ClientCall;
@@ -457,8 +457,8 @@
     /// Writes a page of results.
     fn result_page(&self, page: &ResultPage<'_>) -> Bytes;
 
-    /// Headers of a client's request as the upstream is to get them, with the account that
-    /// it is for in place of any that the client names.
+    /// Headers of a client's request as forwarded to the upstream; `account` replaces any account
+    /// that the client names.
     fn forwarded_headers(
         &self,
         headers: &HeaderMap,
@@ -467,7 +467,7 @@
         remaining: Duration,
     ) -> HeaderMap;
 
-    /// Headers of an upstream's answer as the client is to get them.
+    /// Headers of an upstream's answer as returned to the client.
     fn returned_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Reads the head of an upstream's answer.
@@ -501,7 +501,7 @@
     ///
     /// # Errors
     ///
-    /// It is no event.
+    /// The bytes are no event.
     fn stream_event(&self, event: &[u8]) -> Result<StreamEvent, BadMessage>;
 
     /// Writes an order to load weights.
@@ -516,10 +516,10 @@
     /// Writes an order of upstreams.
     fn scale_order(&self, order: &ScaleOrder<'_>) -> Request<Full<Bytes>>;
 
-    /// Reads the platform's answer to a call that one node at a time makes.
+    /// Reads the platform's answer to a call that only the holder of a duty makes.
     fn duty_answer(&self, status: StatusCode) -> DutyAnswer;
 
-    /// Writes the question for an upstream's report.
+    /// Writes the request for an upstream's report.
     fn engine_report_request(&self, upstream: &Upstream) -> Request<Full<Bytes>>;
 
     /// Reads an upstream's report.
@@ -557,7 +557,7 @@
     /// The value is malformed.
     fn upstream(&self, object: &Object) -> Result<Upstream, BadMessage>;
 
-    /// Reads a version that a trainer named.
+    /// Reads a version of weights that a trainer announced.
     ///
     /// # Errors
     ///
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: a JSON file that the operator's tooling writes.
+//! Settings of a node, read from a JSON file that the operator's tooling writes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,12 +18,12 @@
     /// Why a settings file cannot be used.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// It cannot be read.
+        /// The file cannot be read.
         Unreadable(path: PathBuf, err: std::io::Error) {
             display("{}: {err}", path.display())
             source(err)
         }
-        /// It is not what the settings say.
+        /// The file is no JSON, or a key is missing or has a wrong value.
         Malformed(path: PathBuf, err: serde_json::Error) {
             display("{}: {err}", path.display())
             source(err)
@@ -34,7 +34,7 @@
 /// Settings of one node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct NodeSettings {
-    /// The file that they were read from.
+    /// File that the settings were read from.
     #[serde(skip)]
     pub path: PathBuf,
     /// Name of the VM.
@@ -46,50 +46,50 @@
     /// Reads per second that the store can serve to all nodes together.
     #[serde(default = "default_store_reads_per_s")]
     pub store_reads_per_s: f64,
-    /// Where clients are taken; absent on VMs that take none.
+    /// Listen address for clients; `None` on VMs that serve none.
     #[serde(default)]
     pub client_listen: Option<SocketAddr>,
-    /// Where the balancer asks whether this node takes clients.
+    /// Listen address for the balancer's readiness checks.
     #[serde(default)]
     pub ready_listen: Option<SocketAddr>,
-    /// Where other nodes are taken.
+    /// Listen address for other nodes.
     #[serde(default)]
     pub peer_listen: Option<SocketAddr>,
-    /// Nodes that pass on what the store shows, by where they take other nodes.
+    /// Peer addresses of the seed nodes, through which other nodes follow the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// What the VM gives to this node.
+    /// Resources of the VM for this node.
     #[serde(default)]
     pub vm: VmSettings,
-    /// An upstream that leaves may get requests for this long.
+    /// Time in ms for which an upstream that leaves may still get requests.
     pub leaving_ms: u64,
-    /// Time from SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
-    /// Results of a submission stay readable for this long after it was accepted.
+    /// Time in seconds for which results of a submission stay readable after it was accepted.
     pub keep_results_s: f64,
-    /// No sample of a submission that has ended may reach an engine this long after the end
-    /// was confirmed.
+    /// Time in ms after the confirmed end of a submission from which none of its samples may
+    /// reach an engine.
     #[serde(default = "default_end_applies_ms")]
     pub end_applies_ms: u64,
-    /// Engines may hear from another holder of the orders only after this long.
+    /// Shortest time in ms between the last weight order of one holder and the first of the next.
     pub lease_ms: u64,
-    /// A configuration is in force everywhere within this time.
+    /// Time in ms within which a configuration takes effect on all nodes.
     #[serde(default = "default_config_apply_ms")]
     pub config_apply_ms: u64,
-    /// No call that is sent this long after its key was taken away may run, whatever befalls
-    /// a node; absent where only nodes in touch have to know.
+    /// Time in ms after the revocation of a key from which no call with it may run, even on nodes
+    /// that are cut off; `None` if only nodes in contact with the store have to apply it.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// How the usage of accounts is reported; absent where it is not.
+    /// Reporting of the usage of accounts; `None` if it is not reported.
     #[serde(default)]
     pub usage: Option<UsageSettings>,
     /// Autoscaling of upstreams; `None` if nodes order none.
     #[serde(default)]
     pub scaling: Option<ScalingSettings>,
-    /// Where counters and latencies are served as text.
+    /// Listen address of the metrics endpoint, which serves counters and latencies as text.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddr>,
-    /// Mechanisms that are switched off, to measure what each is worth.
+    /// Mechanisms that are switched off, to measure the effect of each.
     #[serde(default)]
     pub mechanisms_off: Vec<Mechanism>,
     /// Least severe events to log: off, error, warn, info or debug.
@@ -97,21 +97,20 @@
     pub log_level: String,
 }
 
-/// What a VM gives to a node.
+/// Resources that a VM gives to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct VmSettings {
     /// Processor cores.
     pub cores: f64,
-    /// Part of each that the node may use.
+    /// Fraction of each core that the node may use.
     pub core_share: f64,
-    /// Memory.
+    /// Memory in MB.
     pub memory_mb: f64,
-    /// What its own link carries.
+    /// Network bandwidth in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// The VM that [`VmSettings::capacity`] compares others with, and that is taken for given
-/// where the settings do not say.
+/// VM that [`VmSettings::capacity`] compares others with; also the default of the settings.
 pub const REFERENCE_VM: VmSettings = VmSettings {
     cores: 1.0,
     core_share: 1.0,
@@ -126,22 +125,22 @@
 }
 
 impl VmSettings {
-    /// Parts of [`REFERENCE_VM`] by what is scarcest.
+    /// Capacity in multiples of [`REFERENCE_VM`], by the scarcest resource.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let processor = self.cores * self.core_share;
         let reference = REFERENCE_VM.cores * REFERENCE_VM.core_share;
-        let parts = [
+        let ratios = [
             processor / reference,
             self.memory_mb / REFERENCE_VM.memory_mb,
             self.link_mbps / REFERENCE_VM.link_mbps,
         ];
-        parts.into_iter().fold(f64::INFINITY, f64::min).max(0.0)
+        ratios.into_iter().fold(f64::INFINITY, f64::min).max(0.0)
     }
 }
 
-/// A shorter window would be over before its counts are in.
-const WINDOW_LEAST_S: f64 = 1.0;
+/// Shortest window of usage reports; a shorter one would end before its counts arrive.
+const MIN_WINDOW_S: f64 = 1.0;
 
 const fn default_config_apply_ms() -> u64 {
     2_000
@@ -159,14 +158,14 @@
     "info".to_owned()
 }
 
-/// How the usage of accounts is reported.
+/// Settings of the reports of accounts' usage.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct UsageSettings {
-    /// Where reports go.
+    /// Address that reports are sent to.
     pub report_to: SocketAddr,
-    /// Length of the windows.
+    /// Length of the windows in seconds.
     pub window_s: f64,
-    /// A report is due this long after its window's end.
+    /// Time in seconds after the end of a window at which its report is due.
     pub late_s: f64,
 }
 
@@ -174,10 +173,10 @@
     /// Length of the windows.
     #[must_use]
     pub fn window(&self) -> Duration {
-        Duration::from_secs_f64(self.window_s.max(WINDOW_LEAST_S))
+        Duration::from_secs_f64(self.window_s.max(MIN_WINDOW_S))
     }
 
-    /// A report is due this long after its window's end.
+    /// Time after the end of a window at which its report is due.
     #[must_use]
     pub fn due_after(&self) -> Duration {
         Duration::from_secs_f64(self.late_s.max(0.0))
@@ -193,7 +192,7 @@
     /// Address of the platform that takes orders.
     pub order_at: SocketAddr,
     /// Maximum number of calls per second from all nodes together, for all duties.
-    #[serde(deserialize_with = "rate_of_calls")]
+    #[serde(deserialize_with = "checked_call_rate")]
     pub calls_per_s: f64,
     /// Duties that the platform leaves to nodes; `None` means that autoscaling is one of them.
     #[serde(default)]
@@ -208,12 +207,13 @@
     }
 }
 
-/// Lowest rate of calls per second; below it orders wait for longer than an upstream boots.
-const LEAST_CALLS_PER_S: f64 = 0.1;
+/// Lowest rate of calls per second; below it an order waits for longer than an upstream takes to
+/// boot.
+const MIN_CALLS_PER_S: f64 = 0.1;
 
-fn rate_of_calls<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+fn checked_call_rate<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(from)?;
-    if number.is_finite() && number >= LEAST_CALLS_PER_S {
+    if number.is_finite() && number >= MIN_CALLS_PER_S {
         return Ok(number);
     }
     Err(D::Error::custom("calls_per_s must be at least 0.1"))
@@ -236,7 +236,7 @@
         })
     }
 
-    /// The keys whose values differ, in the order in which they stand here.
+    /// Keys whose values differ, in the order in which they are listed here.
     #[must_use]
     pub fn keys_that_differ(&self, other: &Self) -> Vec<&'static str> {
         let differ = [
@@ -297,49 +297,50 @@
         Duration::from_secs_f64(self.grace_s.max(0.0))
     }
 
-    /// An upstream that leaves may get requests for this long.
+    /// Time for which an upstream that leaves may still get requests.
     #[must_use]
     pub const fn leaving(&self) -> Duration {
         Duration::from_millis(self.leaving_ms)
     }
 
-    /// Results of a submission stay readable for this long after it was accepted.
+    /// Time for which results of a submission stay readable after it was accepted.
     #[must_use]
     pub fn keep_results(&self) -> Duration {
         Duration::from_secs_f64(self.keep_results_s.max(0.0))
     }
 
-    /// A configuration is in force everywhere within this time.
+    /// Time within which a configuration takes effect on all nodes.
     #[must_use]
     pub const fn config_apply(&self) -> Duration {
         Duration::from_millis(self.config_apply_ms)
     }
 
-    /// Within this time nodes have to know what is new.
+    /// Time within which nodes have to learn of any change in the store.
     #[must_use]
     pub fn max_propagation_delay(&self) -> Duration {
         self.leaving().min(self.config_apply())
     }
 
-    /// How long a key that was taken away may be served, where that is bounded for all nodes.
+    /// Time for which a revoked key may still be served; `None` if there is no bound that holds
+    /// for all nodes.
     #[must_use]
     pub fn revocation(&self) -> Option<Duration> {
         self.revoke_ms.map(Duration::from_millis)
     }
 
-    /// How often the configuration has to be heard of for that, where calls need keys.
+    /// Longest waits for a change of the configuration if calls need keys.
     #[must_use]
     pub fn config_wait_limits(&self) -> ConfigWaitLimits {
         ConfigWaitLimits::new(self.config_apply(), self.revocation())
     }
 
-    /// How old the view of a submission's head may be.
+    /// Largest ages of the view of a submission's head.
     #[must_use]
     pub fn head_limits(&self) -> HeadLimits {
         HeadLimits::new(Duration::from_millis(self.end_applies_ms))
     }
 
-    /// Engines may hear from another holder of the orders only after this long.
+    /// Shortest time between the last weight order of one holder and the first of the next.
     #[must_use]
     pub const fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
