--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -9,7 +9,7 @@
 /// home has reported any.
 #[must_use]
 pub fn demand_of(fleet: &Fleet, service: &str) -> Option<Demand> {
-    let (upstreams, named) = (fleet.upstreams(), fleet.latest_versions());
+    let (upstreams, versions) = (fleet.upstreams(), fleet.latest_versions());
     let of_service = upstreams
         .iter()
         .filter(|upstream| upstream.service == service);
@@ -30,8 +30,8 @@
                 demand.samples = demand.samples.saturating_add(samples);
                 demand.largest_step = demand.largest_step.max(samples);
             }
-            // No trainer uses a model without a named version.
-            None => demand.is_complete &= !named.iter().any(|version| version.model == model),
+            // No trainer uses a model without a latest version.
+            None => demand.is_complete &= !versions.iter().any(|version| version.model == model),
         }
     }
     (demand.samples > 0).then_some(demand)
--- a/crates/node/src/scaling/drain.rs
+++ b/crates/node/src/scaling/drain.rs
@@ -10,9 +10,9 @@
 /// Leaving upstreams of autoscaled services; none where nodes do not order upstreams.
 #[must_use]
 pub fn leaving_engines(shared: &Shared) -> Vec<Arc<Upstream>> {
-    let is_on = shared.mechanisms.is_enabled(Mechanism::Scaling)
+    let is_enabled = shared.mechanisms.is_enabled(Mechanism::Scaling)
         && shared.settings.now().scaling().is_some();
-    if !is_on {
+    if !is_enabled {
         return Vec::new();
     }
     let (config, upstreams) = (shared.fleet.config(), shared.fleet.upstreams());
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -49,7 +49,7 @@
 /// time is added.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time-out of a report; an upstream answers within milliseconds.
+/// Timeout of a report; an upstream answers within milliseconds.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Dependencies of a [`Scaler`].
@@ -84,7 +84,7 @@
 pub(super) struct EpochState {
     /// The epoch under which it orders.
     pub(super) epoch: u64,
-    /// Orders by service and zone, in this order.
+    /// Sorted by service and zone.
     pub(super) all_orders: Vec<ZoneOrders>,
     /// When the last order was sent; `None` before the first one.
     pub(super) last_sent: Option<Instant>,
--- a/crates/node/src/scaling/sending.rs
+++ b/crates/node/src/scaling/sending.rs
@@ -15,7 +15,7 @@
 use crate::scaling::scaler::indices_of;
 use crate::settings::ScalingSettings;
 
-/// Time-out of a call to the platform. A new holder waits 400 ms in addition to the lease, so
+/// Timeout of a call to the platform. A new holder waits 400 ms in addition to the lease, so
 /// that a late order of its predecessor still arrives a full lease before its own.
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -48,7 +48,7 @@
 /// Delay before a message that the holder did not answer is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// Time-out of a message to another node.
+/// Timeout of a message to another node.
 const SEND_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Answer of a node that has received counts.
@@ -63,9 +63,9 @@
 #[derive(Debug)]
 struct State {
     own: Tally,
-    /// Offset by this node's own clock.
+    /// Offset of true time by this node's own clock.
     own_offset: ClockOffset,
-    /// Offset by the clocks of all nodes; `None` until it is known.
+    /// Offset of true time by the clocks of all nodes; `None` until it is known.
     fleet_offset: Option<ClockOffset>,
     /// Counts received from other nodes, and from this one while it is the holder.
     fleet_counts: FleetCounts,
@@ -233,14 +233,14 @@
         };
         let holder = duty.address();
         let own_address = self.inner.settings.now().peer_listen;
-        if let Some(copy_seed) = self
+        if let Some(seed) = self
             .copy_seed(holder, own_address)
             .filter(|_| has_new_counts)
         {
             let (usage_counter, counts) = (self.clone(), counts.clone());
             drop(tokio::spawn(async move {
                 // The holder has the counts too, and the next copy contains them again.
-                drop(usage_counter.send_to(copy_seed, &counts).await);
+                drop(usage_counter.send_to(seed, &counts).await);
             }));
         }
         if duty.holds_duty() {
@@ -361,9 +361,9 @@
         }
     }
 
-    /// Calls `look` with the counts received from all processes.
-    pub(crate) fn with_fleet_counts<T>(&self, look: impl FnOnce(&mut FleetCounts) -> T) -> T {
-        look(&mut self.lock().fleet_counts)
+    /// Calls `read` with the counts received from all processes.
+    pub(crate) fn with_fleet_counts<T>(&self, read: impl FnOnce(&mut FleetCounts) -> T) -> T {
+        read(&mut self.lock().fleet_counts)
     }
 
     /// Records that the windows up to and including this one are reported.
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -51,7 +51,7 @@
 /// Time for which a write to a store that does not answer is tried in one round.
 const STORE_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time-out of a report; the platform answers within milliseconds.
+/// Timeout of a report; the platform answers within milliseconds.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause after a report that the platform did not take, or a failed access to the store.
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -13,7 +13,7 @@
 use firweir_policy::scaling_repeats::max_present;
 use serde_json::json;
 
-const BOOT: Duration = Duration::from_secs(4);
+const BOOT_TIME: Duration = Duration::from_secs(4);
 
 const LISTED: Counts = Counts {
     on_demand: 4,
@@ -29,8 +29,8 @@
     serde_json::from_value(record).expect("well formed")
 }
 
-/// Guards against one kind that grows while a reduction of the other is not confirmed: the zone
-/// would have more than its maximum.
+/// Guards against one capacity type that grows while a reduction of the other is not confirmed:
+/// the zone would have more than its maximum.
 #[test]
 fn nothing_grows_while_a_reduction_is_not_confirmed() {
     let now = Instant::now();
@@ -43,10 +43,10 @@
         reason: Reason::TooMany,
     };
     zone_orders.place_order(fewer, 4, now);
-    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME);
     assert!(zone.on_demand_unavailable && zone.spot_unavailable);
     zone_orders.record_done(CapacityType::OnDemand, now);
-    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME);
     assert!(!zone.on_demand_unavailable && !zone.spot_unavailable);
 }
 
@@ -55,7 +55,7 @@
 fn a_record_says_which_orders_are_not_confirmed() {
     let confirmed = |more: serde_json::Value| {
         let orders = record(&more).last_orders();
-        orders.iter().map(|held| held.is_confirmed).collect()
+        orders.iter().map(|order| order.is_confirmed).collect()
     };
     let old: Vec<bool> = confirmed(json!({}));
     assert_eq!(old, [true, true], "an older record does not say");
@@ -70,10 +70,10 @@
     let (now, last) = (Instant::now(), record(&json!({})));
     let mut zone_orders = ZoneOrders::from_record(&last, 3);
     zone_orders.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
-    let present = zone_orders.zone_state(LISTED, 1.0, now, BOOT).present;
+    let present = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME).present;
     assert_eq!((present.on_demand, present.spot), (6, 2));
     let present = zone_orders
-        .zone_state(LISTED, 1.0, now + BOOT * 2, BOOT)
+        .zone_state(LISTED, 1.0, now + BOOT_TIME * 2, BOOT_TIME)
         .present;
     assert_eq!(present, LISTED, "none came");
 }
@@ -89,13 +89,13 @@
 /// Guards against asking all upstreams in each round while a reduction is wanted but not
 /// possible.
 #[test]
-fn upstreams_are_asked_once_a_boot_time() {
+fn upstreams_are_asked_once_per_boot_time() {
     let (start, mut report_limiter) = (Instant::now(), ReportLimiter::default());
-    let looks = (0..48).map(|look| start + Duration::from_millis(250) * look);
-    let asked = looks.filter(|now| report_limiter.try_acquire("drafts", *now, BOOT));
+    let rounds = (0..48).map(|round| start + Duration::from_millis(250) * round);
+    let asked = rounds.filter(|now| report_limiter.try_acquire("drafts", *now, BOOT_TIME));
     assert_eq!(asked.count(), 3, "in twelve seconds");
     assert!(
-        report_limiter.try_acquire("other", start, BOOT),
+        report_limiter.try_acquire("other", start, BOOT_TIME),
         "each service apart"
     );
 }
--- a/crates/node/tests/usage.rs
+++ b/crates/node/tests/usage.rs
@@ -9,7 +9,7 @@
 use firweir_node::usage::tally::Tally;
 use firweir_node::usage::tally::Window;
 
-const LENGTH: Duration = Duration::from_secs(5);
+const WINDOW_LENGTH: Duration = Duration::from_secs(5);
 
 fn tally(counts: &[(u64, &str, u64)]) -> Tally {
     let mut tally = Tally::default();
@@ -21,7 +21,7 @@
     tally
 }
 
-fn told(process: &str, own_time_ms: u64, tally: Tally) -> ProcessCounts {
+fn process_counts(process: &str, own_time_ms: u64, tally: Tally) -> ProcessCounts {
     ProcessCounts {
         process: process.to_owned(),
         own_time_ms,
@@ -29,8 +29,8 @@
     }
 }
 
-fn sums(collected: &FleetCounts, window: u64) -> Vec<(String, u64)> {
-    let sum = collected.sum(Window(window)).into_iter();
+fn sums(fleet_counts: &FleetCounts, window: u64) -> Vec<(String, u64)> {
+    let sum = fleet_counts.sum(Window(window)).into_iter();
     sum.map(|AccountCount { account, requests }| (account, requests))
         .collect()
 }
@@ -61,41 +61,47 @@
         },
     ];
     for case in cases {
-        let window = Window::of(Duration::from_millis(case.at_ms), LENGTH);
+        let window = Window::of(Duration::from_millis(case.at_ms), WINDOW_LENGTH);
         assert_eq!(window, Window(case.window), "{}", case.name);
     }
-    assert_eq!(Window(1).end(LENGTH), LENGTH * 2);
+    assert_eq!(Window(1).end(WINDOW_LENGTH), WINDOW_LENGTH * 2);
 }
 
 /// Guards against a message that arrives late or twice and changes a count.
 #[test]
-fn what_is_told_twice_or_late_counts_once() {
+fn counts_received_twice_or_late_count_once() {
     let early = tally(&[(7, "kudu", 2)]);
     let late = tally(&[(7, "kudu", 3), (7, "oryx", 1), (8, "kudu", 1)]);
-    let mut collected = FleetCounts::default();
+    let mut fleet_counts = FleetCounts::default();
     for state in [&early, &late, &early, &late] {
-        collected.apply(told("vm-1", 0, state.clone()), Duration::ZERO);
+        fleet_counts.apply(process_counts("vm-1", 0, state.clone()), Duration::ZERO);
     }
-    collected.apply(told("vm-2", 0, tally(&[(7, "kudu", 5)])), Duration::ZERO);
+    fleet_counts.apply(
+        process_counts("vm-2", 0, tally(&[(7, "kudu", 5)])),
+        Duration::ZERO,
+    );
     let expected = [("kudu".to_owned(), 8), ("oryx".to_owned(), 1)];
-    assert_eq!(sums(&collected, 7), expected);
-    assert_eq!(collected.first_window(), Some(Window(7)));
-    collected.forget_through(Window(7));
-    assert_eq!(sums(&collected, 7), []);
-    assert_eq!(sums(&collected, 8), [("kudu".to_owned(), 1)]);
+    assert_eq!(sums(&fleet_counts, 7), expected);
+    assert_eq!(fleet_counts.first_window(), Some(Window(7)));
+    fleet_counts.forget_through(Window(7));
+    assert_eq!(sums(&fleet_counts, 7), []);
+    assert_eq!(sums(&fleet_counts, 8), [("kudu".to_owned(), 1)]);
 }
 
 #[test]
-fn a_node_that_begins_to_collect_gets_all() {
-    let mut first = FleetCounts::default();
-    first.apply(told("vm-1", 1_000_000, tally(&[(7, "kudu", 2)])), LENGTH);
-    let mut second = FleetCounts::default();
-    let copies = first.snapshot(LENGTH * 2);
-    for told in copies {
-        second.apply(told, Duration::ZERO);
+fn a_new_holder_gets_all_counts() {
+    let mut seed = FleetCounts::default();
+    seed.apply(
+        process_counts("vm-1", 1_000_000, tally(&[(7, "kudu", 2)])),
+        WINDOW_LENGTH,
+    );
+    let mut new_holder = FleetCounts::default();
+    let snapshot = seed.snapshot(WINDOW_LENGTH * 2);
+    for counts in snapshot {
+        new_holder.apply(counts, Duration::ZERO);
     }
-    assert_eq!(sums(&second, 7), [("kudu".to_owned(), 2)]);
-    let own_time = second
+    assert_eq!(sums(&new_holder, 7), [("kudu".to_owned(), 2)]);
+    let own_time = new_holder
         .offset()
         .expect("one is known")
         .true_time(Duration::ZERO);
@@ -112,7 +118,7 @@
 fn clocks_that_are_wrong_do_not_count_until_they_are_half() {
     let now = Duration::from_secs(100);
     for wrong in 0..=7 {
-        let mut collected = FleetCounts::default();
+        let mut fleet_counts = FleetCounts::default();
         for node in 0..15_u64 {
             let jump_ms = if node < wrong {
                 2_000 * (node + 1)
@@ -120,13 +126,16 @@
                 node
             };
             let process = format!("vm-{node}");
-            collected.apply(told(&process, 1_000_000 + jump_ms, Tally::default()), now);
+            fleet_counts.apply(
+                process_counts(&process, 1_000_000 + jump_ms, Tally::default()),
+                now,
+            );
         }
-        let offset = collected.offset().expect("many are known");
-        let off = offset.true_time(now).abs_diff(Duration::from_secs(1_000));
+        let offset = fleet_counts.offset().expect("many are known");
+        let error = offset.true_time(now).abs_diff(Duration::from_secs(1_000));
         assert!(
-            off < Duration::from_millis(15),
-            "{wrong} wrong: {off:?} off"
+            error < Duration::from_millis(15),
+            "{wrong} wrong: {error:?} off"
         );
     }
     assert_eq!(ClockOffset::median(Vec::new()), None);
