--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: what its parts are, and how it starts, drains and ends.
+//! Startup, wiring of the components, drain and shutdown of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -72,53 +72,54 @@
 use crate::weights::WeightUpdater;
 use crate::weights::WeightUpdaterParts;
 
-/// Clients are taken until this long before a node that drains ends, which does for an
-/// answer. The balancer stops after two misses, but it goes on with nodes that drain where
-/// few others are left in a zone: they must find somebody listening.
-const FINISH_CLIENTS: Duration = Duration::from_millis(1_500);
+/// A draining node accepts clients until this long before its end, time enough for an answer.
+/// The balancer removes a node after two failed checks, but if few nodes are left in a zone it
+/// goes on to use draining ones, so that these have to keep listening.
+const CLIENT_FINISH_TIME: Duration = Duration::from_millis(1_500);
 
 /// The process ends this long before it would be killed.
-const END_BEFORE_KILL: Duration = Duration::from_secs(1);
+const KILL_MARGIN: Duration = Duration::from_secs(1);
 
-/// Pause between two watches of the list of upstreams on a node that drafts nothing, as a
-/// part of the time for which an upstream that leaves may get requests. Each load of weights
-/// changes an entry, and each answer to a watch costs every node a call. The rest of that
-/// time is for the watch and for a request that is on its way.
-const IDLE_PAUSE_PART: f64 = 0.6;
+/// Pause between two watches of the list of upstreams on a node that has no samples to place, as
+/// a fraction of the time for which an upstream that leaves may get requests. Each load of
+/// weights changes an entry, and each answer to a watch costs every node a call. The rest of that
+/// time is left for the watch and for requests in flight.
+const IDLE_PAUSE_FRACTION: f64 = 0.6;
 
-/// Pause between two watches of the list of upstreams on a seed: what changes meanwhile
-/// comes in one answer, and each answer costs a call. An engine that has loaded is known
-/// this much later at most.
+/// Pause between two watches of the list of upstreams on a seed node. Changes in between come in
+/// one answer, and each answer costs a call. At most this much later it is known that an engine
+/// has loaded weights.
 const SEED_PAUSE: Duration = Duration::from_millis(200);
 
-/// Nodes follow seeds where upstreams that leave may get requests for this long: a node
-/// works with what is some time old, and notices a dead seed late (`relay`).
-const RELAY_FROM: Duration = Duration::from_millis(2_800);
+/// Nodes follow seeds if upstreams that leave may get requests for at least this long: what a
+/// node gets from a seed is older, and a dead seed is noticed late (see `relay`).
+const MIN_LEAVING_TO_RELAY: Duration = Duration::from_millis(2_800);
 
-/// Time between looks at time-bound decisions of live calls.
-const TICK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two checks of decisions that depend on the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 quick_error! {
     /// Why a node cannot run.
     #[derive(Debug)]
     pub enum NodeError {
-        /// An address cannot be listened at, or a signal not be taken.
+        /// An address cannot be listened at, or a signal handler cannot be installed.
         Io(err: io::Error) {
             display("cannot start: {err}")
             source(err)
             from()
         }
-        /// A key of the settings is missing that this role needs.
+        /// The settings lack a key that this role needs.
         Missing(key: &'static str) {
             display("settings lack {key}")
         }
     }
 }
 
-/// What both roles of a VM are built from.
+/// Components that nodes of both roles need: front nodes, which serve clients, and nodes on VMs
+/// with a disk.
 #[derive(Debug, Clone)]
 pub(crate) struct NodeContext {
-    /// Settings of the start.
+    /// Settings as read at startup.
     pub(crate) settings: NodeSettings,
     current_settings: CurrentSettings,
     fallback: StoreFallback,
@@ -141,7 +142,7 @@
         let journal = Journal::exposing(Arc::clone(&clock), &settings.node, exposition.clone());
         let connections = ConnectionPool::new(Arc::clone(&clock));
         let start_ms = clock.since_epoch().as_millis();
-        let writer = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
+        let writer_id = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
         let fallback = StoreFallback::new(fallback_nodes(&settings));
         let store = Store::new(
             Arc::clone(&dialect),
@@ -149,7 +150,7 @@
             settings.store,
             Arc::clone(&clock),
             journal.clone(),
-            &writer,
+            &writer_id,
             fallback.clone(),
         );
         let sources = Sources {
@@ -186,44 +187,45 @@
             net: Arc::new(TcpNet),
             tasks: Tasks::new(),
         };
-        context.take_seeds();
+        context.apply_seeds();
         context
     }
 
-    /// Goes by the seeds of the settings in force.
-    fn take_seeds(&self) {
+    /// Applies the seeds of the current settings.
+    fn apply_seeds(&self) {
         let settings = self.current_settings.now();
         self.fallback.set_nodes(fallback_nodes(&settings));
-        let seeds = seeds_now(&settings);
+        let seeds = seed_set(&settings);
         let follows_store = seeds.polled.is_empty();
         self.sources.seeds.set(seeds);
         let interest = &self.sources.interest;
         interest.set_follows_store(follows_store);
     }
 
+    /// Spawns a task that follows the objects of a kind and passes changes to `apply`.
     pub(crate) fn follow(
         &self,
         kind: ObjectKind,
-        how: impl Fn() -> FollowOptions + Send + Sync + 'static,
-        take: impl FnMut(ChangeBatch) + Send + 'static,
+        options: impl Fn() -> FollowOptions + Send + Sync + 'static,
+        apply: impl FnMut(ChangeBatch) + Send + 'static,
     ) {
         self.tasks
-            .spawn(follow(self.sources.clone(), kind, how, take));
+            .spawn(follow(self.sources.clone(), kind, options, apply));
     }
 
-    /// Waits for SIGTERM, and takes in settings that change meanwhile.
+    /// Waits for SIGTERM, and applies changed settings meanwhile.
     pub(crate) async fn wait_for_termination(&self) -> io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
-        let mut hang_up = signal(SignalKind::hangup())?;
+        let mut hangup = signal(SignalKind::hangup())?;
         let mut reload = SettingsReloader::new(self.current_settings.clone(), self.journal.clone());
         loop {
             tokio::select! {
                 _ = term.recv() => break,
-                _ = hang_up.recv() => self.journal.event("settings_signalled", &[]),
+                _ = hangup.recv() => self.journal.event("settings_signalled", &[]),
                 () = tokio::time::sleep(reload::CHECK_INTERVAL) => {}
             }
             if reload.reload_if_changed() {
-                self.take_seeds();
+                self.apply_seeds();
             }
         }
         self.journal.event("drain_started", &[]);
@@ -233,7 +235,7 @@
     }
 }
 
-/// What this node tells seeds of itself.
+/// What this node announces about itself to seeds.
 fn local_member_of(settings: &NodeSettings) -> LocalMember {
     let runner = settings.peer_listen.map(|address| NodeRef {
         node: settings.node.clone(),
@@ -242,36 +244,38 @@
     LocalMember::new(runner, settings.vm.capacity())
 }
 
-/// Nodes through which calls of the store may go: the seeds without this node.
+/// Nodes through which calls of the store may go: the seeds except this node.
 fn fallback_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
-    let own = settings.peer_listen;
+    let this_address = settings.peer_listen;
     let is_on =
         EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Detour);
     let seeds = settings.seeds.iter().copied().filter(|_| is_on);
     seeds
-        .filter(|seed| own.is_some_and(|own| own != *seed))
+        .filter(|seed| this_address.is_some_and(|this_address| this_address != *seed))
         .collect()
 }
 
-/// Where this node follows the store: from seeds only where upstreams that leave may
-/// get requests for as long as a dead seed goes unnoticed.
-fn seeds_now(settings: &NodeSettings) -> SeedSet {
+/// Seeds through which this node follows the store; none unless upstreams that leave may get
+/// requests for longer than a dead seed goes unnoticed.
+fn seed_set(settings: &NodeSettings) -> SeedSet {
     let is_on =
         EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Seeds);
-    let relayed = is_on && settings.leaving() >= RELAY_FROM;
-    let own = settings.peer_listen;
-    let is_seed = own.is_some_and(|own| settings.seeds.contains(&own));
+    let is_relayed = is_on && settings.leaving() >= MIN_LEAVING_TO_RELAY;
+    let this_address = settings.peer_listen;
+    let is_seed = this_address.is_some_and(|this_address| settings.seeds.contains(&this_address));
     let seeds = settings.seeds.iter().copied();
-    let others = seeds.filter(|seed| relayed && own.is_some_and(|own| own != *seed));
+    let others = seeds.filter(|seed| {
+        is_relayed && this_address.is_some_and(|this_address| this_address != *seed)
+    });
     let others: Vec<SocketAddr> = others.collect();
     SeedSet {
         polled: if is_seed { Vec::new() } else { others.clone() },
         others,
-        is_seed: relayed && is_seed,
+        is_seed: is_relayed && is_seed,
     }
 }
 
-/// Runs a node that takes clients until SIGTERM has drained it.
+/// Runs a node that serves clients until it has drained after SIGTERM.
 ///
 /// # Errors
 ///
@@ -288,13 +292,13 @@
     let peer_listen = settings
         .peer_listen
         .ok_or(NodeError::Missing("peer_listen"))?;
-    let node = build(&context, peer_listen);
-    start_followers(&context, &node);
-    let outlive = settings.grace().saturating_sub(END_BEFORE_KILL);
-    let linger = outlive.saturating_sub(FINISH_CLIENTS);
+    let request_handler = build_handler(&context, peer_listen);
+    start_followers(&context, &request_handler);
+    let process_linger = settings.grace().saturating_sub(KILL_MARGIN);
+    let linger = process_linger.saturating_sub(CLIENT_FINISH_TIME);
     let clients = serve(
         &context,
-        &node,
+        &request_handler,
         client_listen,
         linger,
         RequestHandler::handle_client,
@@ -302,17 +306,17 @@
     .await?;
     let ready = serve(
         &context,
-        &node,
+        &request_handler,
         ready_listen,
-        outlive,
+        process_linger,
         RequestHandler::handle_client,
     )
     .await?;
     let peers = serve(
         &context,
-        &node,
+        &request_handler,
         peer_listen,
-        outlive,
+        process_linger,
         RequestHandler::handle_peer,
     )
     .await?;
@@ -324,12 +328,12 @@
         .event("node_started", &[("address", &client_listen)]);
     let drained = async {
         clients.await;
-        // Submissions go on here while other nodes pass their questions on.
-        tokio::time::sleep(outlive.saturating_sub(linger)).await;
+        // Submissions still run here, and other nodes forward the questions about them.
+        tokio::time::sleep(process_linger.saturating_sub(linger)).await;
     };
     let terminated = async {
         context.wait_for_termination().await?;
-        tokio::time::sleep(outlive).await;
+        tokio::time::sleep(process_linger).await;
         Ok::<(), io::Error>(())
     };
     tokio::select! {
@@ -340,9 +344,9 @@
     Ok(())
 }
 
-/// Serves counters and latencies as text, if the settings say where.
+/// Serves counters and latencies as text if the settings have an address for it.
 pub(crate) async fn serve_metrics(context: &NodeContext) -> io::Result<()> {
-    let Some(at) = context.settings.metrics_listen else {
+    let Some(address) = context.settings.metrics_listen else {
         return Ok(());
     };
     let exposition = context.exposition.clone();
@@ -351,12 +355,14 @@
         Box::pin(async move { bytes_response(StatusCode::OK, text.into()) })
     });
     let linger = context.settings.grace();
-    let (_, serving) = server::serve(&context.net, &context.tasks, at, linger, handler).await?;
+    let (_, serving) =
+        server::serve(&context.net, &context.tasks, address, linger, handler).await?;
     context.tasks.spawn(serving);
     Ok(())
 }
 
-fn build(context: &NodeContext, peer_listen: SocketAddr) -> Arc<RequestHandler> {
+/// Creates the components of a front node and spawns their tasks.
+fn build_handler(context: &NodeContext, peer_listen: SocketAddr) -> Arc<RequestHandler> {
     let this_node = NodeRef {
         node: context.settings.node.clone(),
         address: peer_listen,
@@ -504,15 +510,20 @@
     })
 }
 
-fn start_followers(context: &NodeContext, node: &Arc<RequestHandler>) {
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let scoring = node.scoring.clone();
+/// Spawns the tasks that follow the store and pass changes to the components, and the periodic
+/// checks.
+fn start_followers(context: &NodeContext, request_handler: &Arc<RequestHandler>) {
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let scoring = request_handler.scoring.clone();
     let interest = Arc::clone(&context.sources.interest);
     let settings = context.current_settings.clone();
     let (local_member, tasks) = (context.sources.local_member.clone(), context.tasks.clone());
-    let (relay, configured) = (Arc::clone(&context.sources.relay), Arc::clone(&fleet));
-    let how = move || {
-        let has_accounts = !configured.config().accounts.is_empty();
+    let (relay, config_fleet) = (Arc::clone(&context.sources.relay), Arc::clone(&fleet));
+    let options = move || {
+        let has_accounts = !config_fleet.config().accounts.is_empty();
         let limits = has_accounts.then(|| settings.now().config_wait_limits());
         relay.set_max_hold(
             ObjectKind::Configuration,
@@ -523,24 +534,30 @@
             ..FollowOptions::immediate()
         }
     };
-    context.follow(ObjectKind::Configuration, how, move |news| {
-        for change in news.changes {
+    context.follow(ObjectKind::Configuration, options, move |batch| {
+        for change in batch.changes {
             fleet.apply_config(change);
         }
-        fleet.record_config_confirmed(news.as_of);
+        fleet.record_config_confirmed(batch.as_of);
         interest.set_config(&fleet.config());
         local_member.set_takes_steps(!tasks.is_draining());
         live.update_upstreams();
         scoring.update_upstreams();
     });
     let list = Arc::new(std::sync::Mutex::new(UpstreamList::default()));
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let (scoring, connections) = (node.scoring.clone(), node.connections.clone());
-    let followed = Arc::clone(&list);
-    let drafting = node.drafting.clone();
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let (scoring, connections) = (
+        request_handler.scoring.clone(),
+        request_handler.connections.clone(),
+    );
+    let followed_list = Arc::clone(&list);
+    let drafting = request_handler.drafting.clone();
     let interest = Arc::clone(&context.sources.interest);
-    let idle_pause = context.settings.leaving().mul_f64(IDLE_PAUSE_PART);
-    let how = move || FollowOptions {
+    let idle_pause = context.settings.leaving().mul_f64(IDLE_PAUSE_FRACTION);
+    let options = move || FollowOptions {
         pause: if drafting.is_busy() {
             Duration::ZERO
         } else {
@@ -549,27 +566,27 @@
         seed_pause: SEED_PAUSE,
         ..FollowOptions::immediate()
     };
-    context.follow(ObjectKind::Upstreams, how, move |news| {
-        let mut list = followed
+    context.follow(ObjectKind::Upstreams, options, move |batch| {
+        let mut list = followed_list
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        fleet.set_extent(news.extent);
-        if let Some(total) = news.extent.total_objects {
+        fleet.set_extent(batch.extent);
+        if let Some(total) = batch.extent.total_objects {
             interest.set_total_upstreams(total);
         }
-        let taken = fleet.apply_upstreams(&mut list, news.changes);
-        for address in taken.restarted {
+        let changes = fleet.apply_upstreams(&mut list, batch.changes);
+        for address in changes.restarted {
             connections.close_idle(address);
         }
-        // Live and reward calls do not ask which weights an upstream has.
-        if taken.routing_changed {
+        // The weights of an upstream do not matter to live and reward calls.
+        if changes.routing_changed {
             live.update_upstreams();
             scoring.update_upstreams();
         }
     });
-    let fleet = Arc::clone(&node.fleet);
-    let holder = node.holder.clone();
-    let how = move || FollowOptions {
+    let fleet = Arc::clone(&request_handler.fleet);
+    let holder = request_handler.holder.clone();
+    let options = move || FollowOptions {
         freshness: if holder.holds_duty() {
             Freshness::Newest
         } else {
@@ -577,34 +594,40 @@
         },
         ..FollowOptions::immediate()
     };
-    context.follow(ObjectKind::WeightVersions, how, move |news| {
-        for change in news.changes {
+    context.follow(ObjectKind::WeightVersions, options, move |batch| {
+        for change in batch.changes {
             fleet.apply_versions(change);
         }
     });
-    let (homes, holder) = (node.homes.clone(), node.holder.clone());
-    let how = FollowOptions::delayed;
-    context.follow(ObjectKind::Duties, how, move |news| {
-        for change in news.changes {
+    let (homes, holder) = (
+        request_handler.homes.clone(),
+        request_handler.holder.clone(),
+    );
+    let options = FollowOptions::delayed;
+    context.follow(ObjectKind::Duties, options, move |batch| {
+        for change in batch.changes {
             holder.apply_change(&change);
             homes.apply(change);
         }
     });
-    let submissions = node.submissions.clone();
+    let submissions = request_handler.submissions.clone();
     context
         .tasks
         .spawn(async move { submissions.resume().await });
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let scoring = node.scoring.clone();
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let scoring = request_handler.scoring.clone();
     context.tasks.spawn(async move {
         loop {
-            tokio::time::sleep(TICK_EVERY).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             let mut list = list
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
-            let dropped = fleet.drop_expired(&mut list);
+            let has_dropped = fleet.drop_expired(&mut list);
             drop(list);
-            if dropped {
+            if has_dropped {
                 live.update_upstreams();
                 scoring.update_upstreams();
             }
@@ -616,17 +639,19 @@
 
 async fn serve<F, A>(
     context: &NodeContext,
-    node: &Arc<RequestHandler>,
-    at: SocketAddr,
+    request_handler: &Arc<RequestHandler>,
+    address: SocketAddr,
     linger: Duration,
-    answer: F,
+    handle: F,
 ) -> io::Result<impl Future<Output = ()> + Send + use<F, A>>
 where
     F: Fn(Arc<RequestHandler>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
     A: Future<Output = Response<Body>> + Send + 'static,
 {
-    let node = Arc::clone(node);
-    let handler = server::handler(move |request| Box::pin(answer(Arc::clone(&node), request)));
-    let (_, serving) = server::serve(&context.net, &context.tasks, at, linger, handler).await?;
+    let request_handler = Arc::clone(request_handler);
+    let handler =
+        server::handler(move |request| Box::pin(handle(Arc::clone(&request_handler), request)));
+    let (_, serving) =
+        server::serve(&context.net, &context.tasks, address, linger, handler).await?;
     Ok(serving)
 }
