--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -192,7 +192,7 @@
     /// Address of the platform that takes orders.
     pub order_at: SocketAddr,
     /// Maximum number of calls per second from all nodes together, for all duties.
-    #[serde(deserialize_with = "checked_call_rate")]
+    #[serde(deserialize_with = "rate_of_calls")]
     pub calls_per_s: f64,
     /// Duties that the platform leaves to nodes; `None` means that autoscaling is one of them.
     #[serde(default)]
@@ -211,7 +211,7 @@
 /// boot.
 const MIN_CALLS_PER_S: f64 = 0.1;
 
-fn checked_call_rate<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+fn rate_of_calls<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(from)?;
     if number.is_finite() && number >= MIN_CALLS_PER_S {
         return Ok(number);
--- a/crates/node/tests/authentication.rs
+++ b/crates/node/tests/authentication.rs
@@ -1,4 +1,4 @@
-//! Which account a call is for, by its key and by how old the configuration may be.
+//! Tests of authentication by the key of a call and the age of the configuration.
 
 use std::time::Duration;
 
@@ -65,24 +65,24 @@
         ..PLAIN
     },
     Case {
-        name: "a known key, as old as may be",
+        name: "a known key, at the largest age",
         age_ms: Some(3_750),
         ..PLAIN
     },
     Case {
-        name: "it may have been taken away meanwhile",
+        name: "a known key may have been revoked meanwhile",
         age_ms: Some(3_751),
         expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
-        name: "it was never known how old the configuration is",
+        name: "the age of the configuration is unknown",
         age_ms: None,
         expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
-        name: "a trainer reads on while the store is away",
+        name: "a trainer reads on while the store is unavailable",
         purpose: Purpose::Manage,
         age_ms: Some(60_000),
         ..PLAIN
@@ -114,7 +114,7 @@
         ..PLAIN
     },
     Case {
-        name: "no key, and the route may have been opened to all",
+        name: "no key, and the route may have become public",
         key: None,
         age_ms: None,
         expected: Err(Denied::StaleConfig),
@@ -141,7 +141,7 @@
         ..PLAIN
     },
     Case {
-        name: "a key that two accounts have names neither",
+        name: "a key of two accounts is unknown",
         key: Some("both"),
         expected: Err(Denied::UnknownKey),
         ..PLAIN
@@ -149,7 +149,7 @@
 ];
 
 #[test]
-fn whom_a_call_is_for() {
+fn a_call_is_authenticated_by_key_and_age() {
     let config = two_accounts();
     let limits = ConfigAgeLimits::new(APPLY, Some(REVOCATION));
     for case in CASES {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn without_accounts_or_a_bound_age_does_not_count() {
+fn without_accounts_or_a_revocation_time_the_age_does_not_count() {
     let key = ApiKey::new(b"k1");
     let access = AccessRequest {
         key: Some(&key),
@@ -184,10 +184,10 @@
     );
 }
 
-/// A node that hears as often as it asks would refuse calls in turn if its answers
-/// were older than it may serve or deny by.
+/// A node whose polls are all answered must never refuse calls, which it would if a configuration
+/// could get older between two answers than the age limits allow.
 #[test]
-fn a_node_that_hears_as_planned_always_serves() {
+fn a_node_whose_polls_are_answered_always_serves() {
     for apply in [APPLY / 5, APPLY, APPLY * 5] {
         for revocation in [
             None,
--- a/crates/node/tests/priorities.rs
+++ b/crates/node/tests/priorities.rs
@@ -1,4 +1,4 @@
-//! Which services order calls by priority, and which priority a call has.
+//! Tests of which services order calls by priority, and of the priority of a call.
 
 use firweir_node::account::Accounts;
 use firweir_node::account::DeclaredAccount;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Guards against priorities of routes that take effect in a deployment without accounts.
+/// Priorities of routes must not take effect in a deployment without accounts.
 #[test]
 fn without_accounts_nothing_goes_by_priority() {
     let config = config(Vec::new(), vec![route(RouteKind::Idempotent, "s", 1)]);
@@ -54,7 +54,7 @@
     assert!(!config.has_priorities("s"));
 }
 
-/// Guards against priorities of one service that affect another one.
+/// Priorities of the routes of one service must not affect another service.
 #[test]
 fn priorities_count_for_the_service_of_their_route() {
     let accounts = || vec![account("kudu", None)];
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What a settings file may say.
+//! Tests of loading a settings file.
 
 use firweir_node::mechanisms::EnabledMechanisms;
 use firweir_node::mechanisms::Mechanism;
@@ -18,7 +18,7 @@
     let path = std::env::temp_dir().join(file);
     std::fs::write(&path, text).expect("a settings file can be written");
     let settings = NodeSettings::load(&path);
-    // A file that is left behind harms nothing.
+    // A file that is not removed does no harm.
     drop(std::fs::remove_file(&path));
     settings
 }
@@ -39,7 +39,7 @@
     assert!(said.contains("movse") && said.contains("moves"), "{said}");
 }
 
-/// Guards against orders of upstreams where the platform does not leave these to nodes.
+/// Nodes must not order upstreams if the platform does not leave that duty to them.
 #[test]
 fn upstreams_are_ordered_only_where_the_duty_is_left_to_nodes() {
     let scaling = |name, duties| {
@@ -55,7 +55,7 @@
     assert!(!scaling("kept", r#", "duties": ["usage_report"]"#));
 }
 
-/// Guards against a rate of 0, which would stop all orders without an error.
+/// A rate of 0 would stop all orders without an error.
 #[test]
 fn a_rate_of_orders_that_is_not_above_zero_is_an_error() {
     let scaling = r#""scaling": {"order_at": "127.0.0.1:2", "calls_per_s": 0}"#;
@@ -63,8 +63,7 @@
     assert!(error.to_string().contains("calls_per_s"), "{error}");
 }
 
-/// Guards against a rate near 0, with which the pause between two orders overflows and the node
-/// panics.
+/// With a rate near 0 the delay between two orders overflows, and the node panics.
 #[test]
 fn a_rate_of_orders_that_is_too_small_is_an_error() {
     let load = |name, rate: &str| {
