--- a/crates/firweir/src/process/holder.rs
+++ b/crates/firweir/src/process/holder.rs
@@ -331,7 +331,7 @@
             let started = self.now();
             let samples = self.draft_step(&feed, step).await;
             let drafted = self.now().saturating_duration_since(started);
-            self.pace.borrow_mut().record_step_drafted(drafted);
+            self.pace.borrow_mut().record_step_generated(drafted);
             self.seal(Lot::seal(&self.name, step, generation, samples))
                 .await;
         }
--- a/crates/firweir/src/process/weights.rs
+++ b/crates/firweir/src/process/weights.rs
@@ -60,7 +60,7 @@
                     .await;
                 let newest = self.record.borrow().value.weight_version;
                 if version == newest && serving.iter().all(|serves| *serves) {
-                    self.pace.borrow_mut().record_weights_swapped();
+                    self.pace.borrow_mut().record_weights_served();
                 }
             }
             let mut changes = self.changes();
--- a/crates/policy/src/step_pacing.rs
+++ b/crates/policy/src/step_pacing.rs
@@ -35,7 +35,7 @@
     /// Whether weights were published since then.
     is_published: bool,
     /// Whether every engine serves these weights.
-    is_swapped: bool,
+    is_served_by_all: bool,
     /// Mean time from the acceptance of a lot to the publication of weights.
     mean_train_s: Option<f64>,
     /// Mean time to generate a step.
@@ -47,7 +47,7 @@
     pub fn record_step_accepted(&mut self, now: Instant) {
         self.accepted_at = Some(now);
         self.is_published = false;
-        self.is_swapped = false;
+        self.is_served_by_all = false;
     }
 
     /// Records that the trainer published weights.
@@ -57,16 +57,16 @@
             self.mean_train_s = Some(moving_average(self.mean_train_s, train_s));
         }
         self.is_published = true;
-        self.is_swapped = false;
+        self.is_served_by_all = false;
     }
 
     /// Records that every engine serves the newest weights.
-    pub fn record_weights_swapped(&mut self) {
-        self.is_swapped = self.is_published;
+    pub fn record_weights_served(&mut self) {
+        self.is_served_by_all = self.is_published;
     }
 
     /// Records how long it took to generate a whole step.
-    pub fn record_step_drafted(&mut self, took: Duration) {
+    pub fn record_step_generated(&mut self, took: Duration) {
         self.mean_step_s = Some(moving_average(self.mean_step_s, took.as_secs_f64()));
     }
 
@@ -82,7 +82,7 @@
         };
         let awaits_weights = staleness_weight_percent >= 100;
         let is_over = if awaits_weights {
-            self.is_swapped
+            self.is_served_by_all
         } else {
             self.is_published
         };
--- a/crates/policy/tests/step_pacing.rs
+++ b/crates/policy/tests/step_pacing.rs
@@ -63,7 +63,7 @@
         let mut pacer = StepPacer::default();
         pacer.record_step_accepted(start);
         pacer.record_version_published(start + train);
-        pacer.record_step_drafted(Duration::from_secs(case.step_s));
+        pacer.record_step_generated(Duration::from_secs(case.step_s));
         pacer.record_step_accepted(start + train);
         if case.is_published {
             pacer.record_version_published(start + train + train);
@@ -95,13 +95,13 @@
     let start = Instant::now();
     let train = Duration::from_secs(40);
     let mut pacer = StepPacer::default();
-    pacer.record_step_drafted(Duration::from_secs(10));
+    pacer.record_step_generated(Duration::from_secs(10));
     pacer.record_step_accepted(start);
     pacer.record_version_published(start + train);
     assert!(pacer.start_delay(100, start + train) > Duration::ZERO);
-    pacer.record_weights_swapped();
+    pacer.record_weights_served();
     assert_eq!(pacer.start_delay(100, start + train), Duration::ZERO);
     pacer.record_step_accepted(start + train);
-    pacer.record_weights_swapped();
+    pacer.record_weights_served();
     assert!(pacer.start_delay(100, start + train) > Duration::ZERO);
 }
