--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -390,7 +390,7 @@
 
     fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         let occupancy = self.occupancy.as_ref().filter(|_| self.waiting() > 0)?;
-        occupancy.next_room(now)
+        occupancy.next_open_at(now)
     }
 
     fn wake(&mut self, now: Instant) {
--- a/crates/policy/src/dispatch/shared.rs
+++ b/crates/policy/src/dispatch/shared.rs
@@ -37,7 +37,7 @@
         let is_open = self.slots.free() > 0;
         self.occupancy.as_ref().map_or(Duration::ZERO, |occupancy| {
             occupancy
-                .room(now, self.serving(kind), is_open)
+                .headroom(now, self.serving(kind), is_open)
                 .available_in
         })
     }
@@ -63,7 +63,7 @@
         match &self.occupancy {
             Some(occupancy) => {
                 let is_open = self.slots.free() > 0;
-                lane.admit_shared(now, work, occupancy.room(now, serving, is_open))
+                lane.admit_shared(now, work, occupancy.headroom(now, serving, is_open))
             }
             None => lane.admit(now, work, serving),
         }
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -173,7 +173,7 @@
     /// Earliest time at which an upstream that has no room now gets some without a call of this
     /// node ending; `None` if there is no such time.
     #[must_use]
-    pub fn next_room(&self, now: Instant) -> Option<Instant> {
+    pub fn next_open_at(&self, now: Instant) -> Option<Instant> {
         let opening = self.upstreams.iter();
         opening
             .filter_map(|upstream| upstream.opens_at(now))
@@ -184,11 +184,11 @@
     /// Estimated room for the queue that `serving` serves. `is_open`: one more call may start
     /// now.
     #[must_use]
-    pub fn room(&self, now: Instant, serving: ServingSlots, is_open: bool) -> Headroom {
+    pub fn headroom(&self, now: Instant, serving: ServingSlots, is_open: bool) -> Headroom {
         let opening = self
             .upstreams
             .iter()
-            .map(|upstream| upstream.expected_room(now));
+            .map(|upstream| upstream.expected_open_at(now));
         let opens = opening.min().filter(|_| !is_open);
         Headroom {
             serving,
@@ -264,7 +264,7 @@
     }
 
     /// When the next call may likely start, be it by time alone or after a call has ended.
-    fn expected_room(&self, now: Instant) -> Instant {
+    fn expected_open_at(&self, now: Instant) -> Instant {
         let paused = self.pause_ends_at(now).max(now);
         if !self.is_at_limit() {
             return paused;
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -63,7 +63,7 @@
     let occupancy = refused(now, Some(24));
     assert!(!occupancy.has_room(now, UPSTREAM));
     assert!(!occupancy.has_room(now + CALL_TIME, UPSTREAM));
-    let opens = occupancy.next_room(now).expect("it opens by time alone");
+    let opens = occupancy.next_open_at(now).expect("it opens by time alone");
     assert!(occupancy.has_room(opens, UPSTREAM));
 }
 
@@ -76,7 +76,7 @@
         occupancy.set_upstreams(&[state(UPSTREAM)]);
         occupancy.record_start(now, UPSTREAM);
         occupancy.record_end(now, UPSTREAM, &ended(Ending::Refused, None));
-        occupancy.next_room(now)
+        occupancy.next_open_at(now)
     };
     assert_ne!(pause(1), pause(2));
 }
@@ -125,7 +125,7 @@
     occupancy.record_start(now, UPSTREAM);
     occupancy.record_end(now, UPSTREAM, &ended(Ending::Abandoned, None));
     assert!(!occupancy.has_room(now, UPSTREAM));
-    let opens = occupancy.next_room(now).expect("it opens by time alone");
+    let opens = occupancy.next_open_at(now).expect("it opens by time alone");
     assert!(opens > now + CALL_TIME);
 }
 
