--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -37,7 +37,7 @@
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Time for a home node to accept a submission, which takes two writes to a store that may be
-/// slow. After that this node looks for another one.
+/// slow. After that this node looks for another home, or accepts the submission itself.
 const HOME_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Delay after which a trainer may retry a submission that was not stored: store outages last
@@ -58,8 +58,10 @@
 }
 
 impl SubmissionManager {
-    /// Accepts a submission, or forwards it to the home node of its model. A draining node
-    /// accepts nothing, since another one would have to take it over seconds later.
+    /// Accepts a submission, or forwards it to the home node of its model. If the home fails, or
+    /// none is known, another one is looked up; if there is none or it fails too, this node
+    /// accepts. A draining node accepts nothing, since another one would have to take it over
+    /// seconds later.
     pub async fn submit(
         &self,
         posted: &SubmissionRequest<'_>,
@@ -97,8 +99,8 @@
             .await
     }
 
-    /// Accepts a submission on this node, which becomes the home of its model. If it
-    /// `was_forwarded`, another node may have accepted it without an answer.
+    /// Accepts a submission on this node, which then becomes the home of its model if homes are
+    /// enabled. If it `was_forwarded`, another node may have accepted it without an answer.
     async fn accept_here(
         &self,
         posted: &SubmissionRequest<'_>,
@@ -267,7 +269,7 @@
     }
 
     /// Records the number of samples per step, if this node is the home of the model and the
-    /// recorded number is smaller.
+    /// step has enough more samples than recorded.
     fn update_home(&self, submission: &Submission) {
         let homes = &self.shared.homes;
         let (model, samples) = (&submission.model, submission.items.len() as u32);
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -95,7 +95,7 @@
             let forwarding = runners.forward(runner, question, head);
             let Some(answer) = runners.call_while_alive(runner, forwarding).await else {
                 let finding = tokio::spawn(self.clone().find_current_head(known.clone()));
-                // The end needs no runner.
+                // A submission can be ended in the store without its runner (below).
                 if *question == Question::End {
                     break;
                 }
@@ -110,7 +110,7 @@
                 Ok(_) => {}
                 Err(error) => {
                     let replacing = tokio::spawn(self.clone().replace_runner(known.clone(), error));
-                    // The end needs no runner.
+                    // A submission can be ended in the store without its runner (below).
                     if *question == Question::End {
                         break;
                     }
@@ -134,7 +134,7 @@
     /// Returns the current head after the known runner did not answer. Another node may run the
     /// submission by now, or takes it over; if the runner answers after all, the head is `known`.
     ///
-    /// Without the read, a node with an old head, as all nodes have after they started together,
+    /// After a restart of all nodes at once, their heads may be old. Without the read, such a node
     /// would wait for a runner that was replaced long ago until its client disconnects.
     ///
     /// Runs in a task of its own, like [`SubmissionManager::replace_runner`].
@@ -210,7 +210,7 @@
     ///
     /// During a store outage a node can't look up the runner of a submission that it has not
     /// seen before, and a client's questions reach different nodes. A home that doesn't run the
-    /// submission answers with a conflict or, if the store doesn't answer it, as unavailable.
+    /// submission answers 409 (conflict), or 503 (unavailable) if it can't reach the store.
     async fn ask_homes(
         &self,
         question: &Question,
--- a/crates/node/src/submission/head_view.rs
+++ b/crates/node/src/submission/head_view.rs
@@ -10,8 +10,9 @@
 
 use crate::duty::BootClock;
 
-/// Time for a sample to reach its engine, which may take a new connection.
-const START_DELAY: Duration = Duration::from_millis(600);
+/// Longest time from the start of a sample until it reaches its engine; this may take a new
+/// connection.
+const MAX_START_TIME: Duration = Duration::from_millis(600);
 
 /// Interval between reads of the head, as a fraction of the time within which an end takes
 /// effect. The rest is for a slow answer.
@@ -29,12 +30,17 @@
 impl HeadLimits {
     /// Limits under which no sample of an ended submission reaches an engine later than
     /// `end_applies` after the end was confirmed.
+    ///
+    /// Below 1.5 s the read interval is the larger limit: a sample may then reach an engine up to
+    /// `MAX_START_TIME` after that interval.
     #[must_use]
     pub fn new(end_applies: Duration) -> Self {
         let read_interval = end_applies.mul_f64(READ_INTERVAL_FRACTION);
         Self {
             read_interval,
-            max_age_at_start: end_applies.saturating_sub(START_DELAY).max(read_interval),
+            max_age_at_start: end_applies
+                .saturating_sub(MAX_START_TIME)
+                .max(read_interval),
         }
     }
 }
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -32,7 +32,8 @@
     write: String,
     /// The home node.
     runner: NodeRef,
-    /// Number of samples in a step of the model; missing in records of earlier releases.
+    /// Largest known number of samples in a step of the model; missing in records of earlier
+    /// releases.
     #[serde(default)]
     samples: Option<u32>,
 }
@@ -104,14 +105,14 @@
         }
     }
 
-    /// Whether a step with so many samples exceeds the number that is recorded for its model.
+    /// Whether a step has enough more samples than recorded for its model to be worth a write.
     #[must_use]
     pub fn exceeds_recorded_samples(&self, model: &str, samples: u32) -> bool {
         self.demands.exceeds_recorded(model, samples)
     }
 
     /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
-    /// changed since it was read.
+    /// changed since it was read. If a larger number of samples is known, that is recorded.
     pub async fn assign(&self, model: &str, runner: NodeRef, samples: u32) {
         let name = format!("{PREFIX}{model}");
         let record = HomeRecord {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Stores a home, unless a newer one of its model is known.
+    /// Adds a home to the list in memory, unless a newer one of its model is known.
     fn insert_if_newer(&self, home: &Home) {
         self.by_model.rcu(|homes| {
             let mut homes = Vec::clone(homes);
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -454,7 +454,8 @@
     ///
     /// The first read takes a second, and a trainer may end its step through another node
     /// meanwhile. Without the second read, engines would generate samples of an ended step
-    /// until the next read of the head.
+    /// until the next read of the head. If the head is gone or ended by then, the submission
+    /// counts as ended.
     async fn read_submission(
         &self,
         id: &str,
--- a/crates/node/src/submission/removal.rs
+++ b/crates/node/src/submission/removal.rs
@@ -13,7 +13,8 @@
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(2);
 
 impl SubmissionManager {
-    /// Removes an ended submission from the store after the retention time of its results.
+    /// Removes a submission from the store once it has ended and the retention time of its
+    /// results, counted from when this process began to run it, has passed.
     pub(in crate::submission) async fn clean_up(self, submission: Arc<LocalSubmission>) {
         let remove_at = submission.started() + self.shared.settings.now().keep_results();
         loop {
@@ -42,7 +43,8 @@
     }
 
     /// Removes results and items, then the head. The head goes last, so that after a crash the
-    /// restarted node finds what is left to remove.
+    /// restarted node finds what is left to remove. Does nothing if the head is gone or names
+    /// another runner.
     async fn remove(&self, submission: &LocalSubmission) -> Result<(), StoreError> {
         let Some(known) = self.shared.heads.read_newest(&submission.id).await? else {
             return Ok(());
--- a/crates/node/src/submission/runners.rs
+++ b/crates/node/src/submission/runners.rs
@@ -38,7 +38,7 @@
 /// called resolves the API key and doesn't forward it.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-firweir-account");
 
-/// Timeout of a ping, and the least one of those in [`Runners::is_down`].
+/// Timeout of a ping; those of [`Runners::is_down`] may take longer.
 const PING_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A node is pinged if it has not answered a call within this time. The call itself may take
@@ -114,7 +114,7 @@
                 std::future::pending::<()>().await;
             }
         };
-        unless(call, pinging).await
+        output_unless(call, pinging).await
     }
 
     async fn ping(&self, node: SocketAddr, timeout: Duration) -> Result<(), CallError> {
@@ -127,8 +127,8 @@
     }
 
     /// Whether a runner that did not answer is down. Pings it until [`DOWN_AFTER`] has passed
-    /// since the first unanswered call: if this were left to retries of the client, it would
-    /// wait twice as long.
+    /// since the first unanswered call: if the check were left to retries of the client, the
+    /// client would wait twice as long.
     pub async fn is_down(&self, runner: SocketAddr, mut error: CallError) -> bool {
         loop {
             let silent_for = self.silent_for(runner);
@@ -196,7 +196,10 @@
 }
 
 /// Returns the output of a call; `None` if `other` completes first.
-async fn unless<T>(call: impl Future<Output = T>, other: impl Future<Output = ()>) -> Option<T> {
+async fn output_unless<T>(
+    call: impl Future<Output = T>,
+    other: impl Future<Output = ()>,
+) -> Option<T> {
     tokio::select! {
         biased;
         output = call => Some(output),
--- a/crates/node/src/submission/texts.rs
+++ b/crates/node/src/submission/texts.rs
@@ -30,7 +30,7 @@
     pub score: Option<Score>,
     /// Number of failures that engines reported.
     pub failures: u32,
-    /// Whether an earlier text was dropped since this node runs the submission.
+    /// Whether a text of it was dropped after this node began to run the submission.
     pub restarted: bool,
 }
 
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -52,13 +52,13 @@
         })
         .collect();
     let demands = vec![IN_FLIGHT as u32; entries];
-    let fleet = EntryDemands {
+    let entry_demands = EntryDemands {
         demands: &demands,
         rank: entries / 2,
         known_entries: entries,
     };
     let mut dispatcher = LaneDispatcher::new();
-    dispatcher.set_upstreams(now, &states, &fleet);
+    dispatcher.set_upstreams(now, &states, &entry_demands);
     let warm = now + Duration::from_secs(10);
     dispatcher.tick(warm);
     for key in 0..IN_FLIGHT {
--- a/crates/policy/src/aimd_limit.rs
+++ b/crates/policy/src/aimd_limit.rs
@@ -1,4 +1,5 @@
-//! Fraction of the configured concurrency limit of upstreams that is in use.
+//! Adapts the concurrency limit of upstreams: the fraction of the configured limit that may be
+//! used.
 //!
 //! The time per token of an engine grows with its batch, and operators may have set the limit
 //! for another model or other prompts. A batch as large as the limit then makes each live
@@ -31,7 +32,7 @@
 /// Smallest fraction of the configured limit. Live work alone has to fit into it.
 const MIN_FRACTION: f64 = 0.2;
 
-/// Fraction of the configured limit that is in use.
+/// Fraction of the configured limit that may be used.
 #[derive(Debug, Clone, Copy)]
 pub struct AimdLimit {
     fraction: f64,
@@ -52,10 +53,10 @@
 }
 
 impl AimdLimit {
-    /// Records a live call that took `elapsed` and had `patience` until its deadline.
-    pub fn record_answer(&mut self, elapsed: Duration, patience: Duration) {
+    /// Records a live call that took `elapsed` and had `time_to_deadline` when it started.
+    pub fn record_answer(&mut self, elapsed: Duration, time_to_deadline: Duration) {
         self.answers += 1;
-        let late = elapsed.as_secs_f64() > patience.as_secs_f64() * NEARLY_LATE_FRACTION;
+        let late = elapsed.as_secs_f64() > time_to_deadline.as_secs_f64() * NEARLY_LATE_FRACTION;
         self.nearly_late += u32::from(late);
     }
 
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The limit in use, given the configured one.
+    /// The limit that applies now, given the configured one.
     #[must_use]
     pub fn apply(&self, configured: f64) -> f64 {
         configured * self.fraction
--- a/crates/policy/src/background.rs
+++ b/crates/policy/src/background.rs
@@ -32,7 +32,7 @@
 use crate::work::WorkKey;
 
 /// Part of the time until the deadline within which calls should end; the rest is for calls
-/// that fail. Calls that need more slots for that than pacing leaves them use all slots.
+/// that fail. If that takes more slots than pacing allows, the calls use all slots.
 const USABLE_TIME_FRACTION: f64 = 0.6;
 
 /// Part of an upstream's slots that always stays free for callers while there is slack: the
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -50,7 +50,8 @@
     deadline: Instant,
 }
 
-/// Dispatcher with a lane each for short live calls, long live calls and training.
+/// Dispatcher with a lane each for short live calls, long live calls and training. Calls of
+/// training steps to plain services use [`crate::background::BackgroundDispatcher`] instead.
 #[derive(Debug)]
 pub struct LaneDispatcher {
     slots: Slots,
@@ -350,8 +351,8 @@
         let is_unanswered = matches!(finish.ending, Ending::Abandoned | Ending::Refused);
         let expired = is_unanswered && now >= ended.deadline;
         if ended.kind != LaneKind::Training && (expired || finish.ending == Ending::Answered) {
-            let patience = ended.deadline.saturating_duration_since(ended.started_at);
-            self.limit.record_answer(finish.elapsed, patience);
+            let time_to_deadline = ended.deadline.saturating_duration_since(ended.started_at);
+            self.limit.record_answer(finish.elapsed, time_to_deadline);
         }
         if let Some(load) = finish.reported_load {
             self.slots.record_load(now, ended.upstream, load);
--- a/crates/policy/src/fair_queue.rs
+++ b/crates/policy/src/fair_queue.rs
@@ -157,7 +157,8 @@
         taken
     }
 
-    /// Discards callers without queued work whose service has ended in virtual time.
+    /// Discards callers without queued work whose service has ended in virtual time, or all
+    /// callers if no work waits.
     pub fn forget_idle_callers(&mut self) {
         let now = self.virtual_now;
         self.callers
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -50,14 +50,16 @@
 /// and delays an answer by at most half its own time.
 const STANDING_WAIT_SERVICE_TIMES: f64 = 0.5;
 
-/// Maximum queued work per slot. It bounds the queue while service times are unknown.
+/// Queued work that is allowed per slot. It bounds the queue while service times are unknown.
 const MAX_QUEUED_PER_SLOT: usize = 4;
 
-/// Queued work that is allowed for any number of slots.
-const MIN_QUEUE_LIMIT: usize = 16;
+/// Queued work that is allowed in addition to [`MAX_QUEUED_PER_SLOT`] per slot.
+const BASE_QUEUE_LIMIT: usize = 16;
 
-/// Bounds of the retry delay for refused callers.
+/// Shortest retry delay for refused callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Longest retry delay for refused callers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(20);
 
 /// Shortest retry delay for refused callers of a shared service. It is short since the queue
@@ -76,8 +78,8 @@
 /// covers the variation of call times.
 const OBJECTIVE_FRACTION: f64 = 0.7;
 
-/// Decay factor, per offered work, of the usual time from offer to deadline.
-const PATIENCE_DECAY: f64 = 0.999;
+/// Decay factor, per offered work, of the maximum of the time from offer to deadline.
+const TIME_TO_DEADLINE_DECAY: f64 = 0.999;
 
 /// Estimated free capacity of shared upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -140,7 +142,7 @@
     /// Time since which the queue has not been empty.
     waiting_since: Option<Instant>,
     /// Decaying maximum of the time from offer to deadline.
-    usual_patience: Duration,
+    max_time_to_deadline: Duration,
 }
 
 impl Lane {
@@ -154,7 +156,7 @@
             reserve: Reserve::default(),
             in_flight: 0,
             waiting_since: None,
-            usual_patience: Duration::ZERO,
+            max_time_to_deadline: Duration::ZERO,
         }
     }
 
@@ -241,18 +243,22 @@
     }
 
     /// Reduces the work's latency objective by the time that earlier attempts of its client
-    /// are estimated to have used: the usual time to the deadline minus that of this work.
+    /// are estimated to have used: the decaying maximum of the time to the deadline minus that
+    /// of this work.
     pub fn deduct_earlier_attempts(&mut self, now: Instant, work: &mut Work) {
-        let patience = work.deadline.saturating_duration_since(now);
-        self.usual_patience = self.usual_patience.mul_f64(PATIENCE_DECAY).max(patience);
-        let used = self.usual_patience.saturating_sub(patience);
+        let time_to_deadline = work.deadline.saturating_duration_since(now);
+        self.max_time_to_deadline = self
+            .max_time_to_deadline
+            .mul_f64(TIME_TO_DEADLINE_DECAY)
+            .max(time_to_deadline);
+        let used = self.max_time_to_deadline.saturating_sub(time_to_deadline);
         work.objective = work.objective.map(|left| left.saturating_sub(used));
     }
 
     /// Whether the queue has reached its maximum length.
     #[must_use]
     pub fn is_full(&self, serving: ServingSlots) -> bool {
-        self.queue.len() >= MIN_QUEUE_LIMIT + serving.rounded_up() * MAX_QUEUED_PER_SLOT
+        self.queue.len() >= BASE_QUEUE_LIMIT + serving.rounded_up() * MAX_QUEUED_PER_SLOT
     }
 
     /// Time after which refused work may be retried: the expected time for the queue to drain.
--- a/crates/policy/src/long_poll.rs
+++ b/crates/policy/src/long_poll.rs
@@ -6,10 +6,10 @@
 //! for the next poll, and the trainer would continue only when the poll after that is due.
 //!
 //! A poll is therefore held, for as long as the trainer allows, until the last group is
-//! complete. It returns all results so far, so that none is read later than by a trainer that
-//! polls less often. A poll that is open when the step becomes due is answered shortly
-//! afterwards with the results so far. Later polls are held for the last group again, since an
-//! overdue step also ends only with it. This more than halves the time from the last group until
+//! complete. It returns all results so far, so a result is delayed by at most the hold, as by a
+//! trainer that polls less often. A poll that is open when the step becomes due is answered
+//! shortly afterwards with the results so far. Later polls are held for the last group again,
+//! since an overdue step also ends only with it. This more than halves the time from the last group until
 //! the trainer continues (test `a_trainer_goes_on_soon`).
 
 use std::time::Duration;
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -56,8 +56,10 @@
 /// The upstreams count as congested while the sum of limits is below this part of all slots.
 const CONGESTED_FRACTION: f64 = 0.25;
 
-/// Range of the random factor on pauses.
+/// Lower bound of the random factor on pauses.
 const MIN_JITTER: f64 = 0.5;
+
+/// Upper bound of the random factor on pauses.
 const MAX_JITTER: f64 = 1.5;
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -58,7 +58,7 @@
     pub slots: u32,
     /// Size of its KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Model assigned to it; other models only get what room is left.
+    /// Model assigned to it. Samples of other models get a score penalty on it.
     pub model: Option<ModelKey>,
     /// Versions of the models that it has loaded, sorted by model.
     pub versions: Vec<(ModelKey, u64)>,
@@ -224,7 +224,9 @@
     event_counts: EventHistogram,
     /// Samples that were moved for speed; sorted.
     moved_for_speed: Vec<SampleKey>,
-    /// Time for which `rankings` are valid; `None` after any change other than a start.
+    /// Time for which `rankings` are valid; `None` after a run has ended or the engines, their
+    /// reported speeds or pauses have changed. Starts update the rankings. Event times that change
+    /// within that time are ignored.
     ranked_at: Option<Instant>,
     rankings: Vec<Ranking>,
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retry budget: whether failed work may be retried.
 //!
 //! Without it, every failure at a failing or saturated upstream is sent again at once, so that
-//! a fault multiplies the load that caused it, and a charged call may run twice.
+//! a fault multiplies the load that caused it, and a call that its caller pays for may run twice.
 
 use crate::work::Ending;
 
--- a/crates/policy/src/scaling.rs
+++ b/crates/policy/src/scaling.rs
@@ -299,7 +299,8 @@
     orders
 }
 
-/// Orders that remove one upstream from each zone above its target if enough remain.
+/// Orders that remove one upstream from each zone above its target if enough remain and the zone
+/// has more upstreams than its running requests fill.
 fn reduction_orders(
     zones: &[Zone],
     bounds: &Bounds,
--- a/crates/policy/src/scaling_repeats.rs
+++ b/crates/policy/src/scaling_repeats.rs
@@ -1,8 +1,8 @@
 //! Decides which of the last orders in a zone a new holder of the scaling duty sends again.
 //!
-//! Only orders that the platform has not confirmed are repeated, within the current limits.
-//! Upstreams of a confirmed order may still be booting, and those of an old one may have been lost
-//! since.
+//! Only orders that the platform has not confirmed are repeated, within the current limits. If
+//! fewer upstreams are listed than a confirmed order asked for, they may still be booting or have
+//! been lost since; neither is a reason to send the old number again.
 
 use crate::scaling::Bounds;
 use crate::scaling::CAPACITY_TYPES;
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -38,11 +38,11 @@
 /// Reported figure of an upstream that is not disturbed.
 const UNDISTURBED_PERCENT: u32 = 100;
 
-/// Lower bound of the factor. Work is not expected to be faster than undisturbed, so that a
-/// reported figure of zero does not attract work to an upstream.
+/// Lower bound of the slowdown factor of a report. Work is not expected to be faster than
+/// undisturbed, so that a reported figure of zero does not attract work to an upstream.
 const MIN_FACTOR: f64 = 1.0;
 
-/// Upper bound of the factor.
+/// Upper bound of that factor.
 const MAX_FACTOR: f64 = 4.0;
 
 /// Observed time over which the undisturbed time is averaged.
--- a/crates/policy/src/step_pacing.rs
+++ b/crates/policy/src/step_pacing.rs
@@ -6,17 +6,17 @@
 //! replaced before the trainer takes the lot: every sample would be one version old, and engines
 //! would be busy early without need, at the cost of live callers. A later start makes samples
 //! fresher, but at some point leaves the trainer idle without a lot. The staleness weight of the
-//! feed balances the two.
+//! feed (a setting, in percent) balances the two: the higher it is, the later generation starts.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Lead of a step before the trainer needs it, as a multiple of its mean duration, for a
-/// staleness weight just above 0 percent: the duration of a step in which an engine crashes.
+/// How long before the trainer needs a step its generation starts, in mean step durations, for a
+/// staleness weight just above 0 percent. A step in which an engine crashes takes about this long.
 const MAX_LEAD: f64 = 1.5;
 
-/// Lead for a staleness weight just below 100 percent: no time to spare. A later start would leave
-/// the trainer idle without making samples fresher, as the engines have no newer weights yet.
+/// The same for a staleness weight just below 100 percent: no time to spare. A later start would
+/// leave the trainer idle without making samples fresher, as the engines have no newer weights yet.
 const MIN_LEAD: f64 = 1.0;
 
 /// Weight of the newest duration, for a mean over about four steps.
--- a/crates/policy/src/weight_loads.rs
+++ b/crates/policy/src/weight_loads.rs
@@ -92,7 +92,8 @@
 }
 
 /// Assigns models to engines; an engine's own model is its first. Each model gets an equal share
-/// or, if that is less, what it needs, and engines keep the models whose newer weights they have.
+/// or, if that is less, what it needs. Engines that are at most `MAX_KEPT_LAG` versions behind on a
+/// model are assigned to it first.
 ///
 /// All nodes compute the same result from the same list. Assigning engines by their index would be
 /// simpler, but each engine that joins or leaves would move all later ones to another model, and
@@ -156,7 +157,7 @@
     }
 }
 
-/// The weights of one model on one engine.
+/// One pair of engine and model: the weights of the model on that engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineWeights {
     /// The engine.
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -112,7 +112,8 @@
     Answered,
     /// The connection could not be opened; nothing was sent.
     Unreachable,
-    /// The upstream refused it, failed or closed the connection after something was sent.
+    /// The upstream failed or gave no usable answer after something was sent; it may have run the
+    /// work.
     Failed,
     /// The caller disconnected or the deadline passed.
     Abandoned,
@@ -129,8 +130,8 @@
     pub waiting: u32,
     /// Number of requests that it can run at the same time.
     pub slots: u32,
-    /// Current time that work takes on its VM, in percent of the usual time; `None` if the
-    /// upstream does not report it.
+    /// Time that work currently takes on its VM, in percent of the undisturbed time; `None` if
+    /// the upstream does not report it.
     pub time_percent: Option<u32>,
 }
 
--- a/crates/policy/src/write_batching.rs
+++ b/crates/policy/src/write_batching.rs
@@ -7,13 +7,15 @@
 //! again half a second later, although the last group that it waits for is available.
 //!
 //! A trainer continues once it has all groups that it waits for. The last of them is therefore
-//! written at once, while a poll of the trainer is blocked waiting for it. All other samples are
-//! delayed to share a write; near the end of the step they are delayed until that last group is
-//! complete, or until the step is about to be due.
+//! written at once, while a poll of the trainer is blocked waiting for it (test
+//! `a_trainer_has_its_last_group_soon`). All other samples are delayed to share a write; near the
+//! end of the step they are delayed until that last group is complete, or until the step is about
+//! to be due.
 
 use std::time::Duration;
 
-/// Delay of a write before [`NEARLY_DUE`]. A crash of the runner, or an outage of the store,
+/// Delay of a write before [`NEARLY_DUE`] and, once the target is reached or the step is about to
+/// be due, of samples that complete no group. A crash of the runner, or an outage of the store,
 /// costs at most the samples that were finished in this time.
 const BATCH_DELAY: Duration = Duration::from_secs(1);
 
--- a/crates/policy/tests/background.rs
+++ b/crates/policy/tests/background.rs
@@ -19,8 +19,8 @@
 use firweir_policy::work::Work;
 use firweir_policy::work::WorkKey;
 
-/// Time step of the simulation.
-const STEP_MS: u64 = 1;
+/// Time by which each iteration of the simulation advances.
+const TICK_MS: u64 = 1;
 
 /// Service time of a caller's request.
 const CALLER_SERVICE_MS: u64 = 25;
@@ -53,7 +53,7 @@
 
 impl Upstream {
     /// Ends and starts the requests that are due. Returns those that ended.
-    fn step(&mut self, now_ms: u64, slots: usize) -> Vec<Request> {
+    fn advance(&mut self, now_ms: u64, slots: usize) -> Vec<Request> {
         let is_ended = |(_, end_ms): &(Request, u64)| *end_ms <= now_ms;
         let ended: Vec<Request> = self
             .running
@@ -79,11 +79,11 @@
     call_ms: u64,
     due_ms: u64,
     /// Sends all calls at once, without this dispatcher.
-    is_greedy: bool,
+    sends_all_at_once: bool,
 }
 
 impl Load {
-    const fn step() -> Self {
+    const fn one_step() -> Self {
         Self {
             upstreams: 4,
             slots: 6,
@@ -91,7 +91,7 @@
             senders: 1,
             call_ms: 200,
             due_ms: 6_000,
-            is_greedy: false,
+            sends_all_at_once: false,
         }
     }
 }
@@ -149,7 +149,7 @@
         sender.set_upstreams(start, &states(load), &EntryDemands::SINGLE_ENTRY);
         (0..load.calls).for_each(|key| sender.offer(start, work(key, at(load.due_ms))));
     }
-    if load.is_greedy {
+    if load.sends_all_at_once {
         senders.clear();
         for key in 0..load.calls {
             let request = Request::Call {
@@ -199,7 +199,7 @@
             }
         }
         for upstream in &mut upstreams {
-            for ended in upstream.step(now_ms, load.slots) {
+            for ended in upstream.advance(now_ms, load.slots) {
                 let reported_load = ReportedLoad {
                     running: upstream.running.len() as u32 + 1,
                     waiting: upstream.waiting.len() as u32,
@@ -232,7 +232,7 @@
                 }
             }
         }
-        now_ms += STEP_MS;
+        now_ms += TICK_MS;
     }
     outcome
 }
@@ -251,8 +251,8 @@
 fn what_callers_and_steps_get() {
     let cases = [
         Case {
-            name: "calm: callers notice nothing, and the step has time to spare",
-            load: Load::step(),
+            name: "light load: no caller is late, and the step has time to spare",
+            load: Load::one_step(),
             max_late_percent: 0,
             max_ended_ms: 2_400,
         },
@@ -260,7 +260,7 @@
             name: "two steps of two nodes, which do not know of each other",
             load: Load {
                 senders: 2,
-                ..Load::step()
+                ..Load::one_step()
             },
             max_late_percent: 5,
             max_ended_ms: 4_500,
@@ -270,7 +270,7 @@
             load: Load {
                 call_ms: 1_000,
                 due_ms: 30_000,
-                ..Load::step()
+                ..Load::one_step()
             },
             max_late_percent: 0,
             max_ended_ms: 12_000,
@@ -280,7 +280,7 @@
             load: Load {
                 call_ms: 40,
                 due_ms: 1_200,
-                ..Load::step()
+                ..Load::one_step()
             },
             max_late_percent: 0,
             max_ended_ms: 480,
@@ -289,7 +289,7 @@
             name: "short: all slots are used, once the first answers tell how long calls take",
             load: Load {
                 due_ms: 1_000,
-                ..Load::step()
+                ..Load::one_step()
             },
             max_late_percent: 100,
             max_ended_ms: 1_300,
@@ -299,7 +299,7 @@
             load: Load {
                 upstreams: 1,
                 calls: 40,
-                ..Load::step()
+                ..Load::one_step()
             },
             max_late_percent: 0,
             max_ended_ms: 5_500,
@@ -323,8 +323,8 @@
 #[test]
 fn without_pacing_callers_are_late() {
     let outcome = simulate(&Load {
-        is_greedy: true,
-        ..Load::step()
+        sends_all_at_once: true,
+        ..Load::one_step()
     });
     assert!(outcome.callers_late * 2 > outcome.callers, "{outcome:?}");
 }
@@ -334,7 +334,7 @@
 #[test]
 fn a_failing_upstream_is_left_alone() {
     let now = Instant::now();
-    let load = Load::step();
+    let load = Load::one_step();
     let mut sender = BackgroundDispatcher::new();
     sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
     let due = now + Duration::from_secs(6);
@@ -372,7 +372,7 @@
     let load = Load {
         upstreams: 1,
         slots: 1,
-        ..Load::step()
+        ..Load::one_step()
     };
     let mut sender = BackgroundDispatcher::new();
     sender.set_upstreams(now, &states(&load), &EntryDemands::SINGLE_ENTRY);
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -37,7 +37,7 @@
     caller: u64,
     every: Duration,
     cost_tokens: u32,
-    patience: Duration,
+    time_to_deadline: Duration,
     from: Duration,
     until: Duration,
 }
@@ -56,7 +56,7 @@
     caller: 1,
     every: Duration::from_millis(100),
     cost_tokens: 100,
-    patience: Duration::from_secs(3),
+    time_to_deadline: Duration::from_secs(3),
     from: WARM_UP,
     until: MINUTE,
 };
@@ -66,7 +66,7 @@
     caller: 900,
     every: Duration::from_millis(20),
     cost_tokens: 1_000,
-    patience: Duration::from_secs(120),
+    time_to_deadline: Duration::from_secs(120),
     ..LIVE
 };
 
@@ -156,7 +156,7 @@
                     prefix: key.0,
                     cost_tokens: offer.cost_tokens,
                     priority: 0,
-                    deadline: self.now + offer.patience,
+                    deadline: self.now + offer.time_to_deadline,
                     objective: None,
                     avoid: Vec::new(),
                 };
@@ -262,7 +262,7 @@
         caller: 4,
         cost_tokens: 2_000,
         every: Duration::from_millis(200),
-        patience: Duration::from_secs(40),
+        time_to_deadline: Duration::from_secs(40),
         ..LIVE
     };
     let cases = [
@@ -289,7 +289,7 @@
     ];
     for case in cases {
         let mut simulation = Simulation::new(&case.offers);
-        simulation.run(MINUTE + LIVE.patience);
+        simulation.run(MINUTE + LIVE.time_to_deadline);
         for (counts, min_fraction) in simulation.counts.iter().zip(&case.min_fractions) {
             assert!(
                 in_time_fraction(*counts) >= *min_fraction,
@@ -357,7 +357,7 @@
         ..LIVE
     };
     let mut simulation = Simulation::new(&[live, TRAINING]);
-    simulation.run(MINUTE + LIVE.patience);
+    simulation.run(MINUTE + LIVE.time_to_deadline);
     let slots = f64::from(6 * SLOTS_PER_UPSTREAM);
     let capacity = OFFERED_SECONDS * slots / 5.0;
     assert!(
@@ -398,7 +398,7 @@
 #[test]
 fn no_one_is_ejected_when_all_are_slow() {
     let live = Offer {
-        patience: Duration::from_secs(30),
+        time_to_deadline: Duration::from_secs(30),
         ..LIVE
     };
     let mut simulation = Simulation::new(&[live]);
--- a/crates/policy/tests/home_selection.rs
+++ b/crates/policy/tests/home_selection.rs
@@ -89,7 +89,7 @@
 
 /// Guards against the same home for all models whose first steps arrive at the same time.
 #[test]
-fn models_that_come_at_once_are_spread() {
+fn homes_of_models_that_start_together_are_spread() {
     let fleet = fleet(50, 784);
     let mut homes: Vec<NodeKey> = (0..8)
         .filter_map(|model| best_home(model, &fleet))
@@ -101,18 +101,18 @@
     assert_eq!(best_home(1, &[]), None);
 }
 
-/// Guards against a small home because the node that was asked knows no large VM: several nodes
-/// are asked, and the best answer is used.
+/// Guards against a home on a small VM because the node that was asked knows no large one:
+/// several nodes are asked, and the best answer is used.
 #[test]
-fn the_best_of_several_finds_is_the_best_of_all() {
+fn the_best_home_found_by_several_nodes_is_the_best_of_all() {
     let fleet = fleet(3, 60);
     for model in 0..20 {
         let all = best_home(model, &fleet);
         // Each of three knows a third of the nodes; the large ones are known to the first.
         let (known, others) = fleet.split_at(21);
         let (second, third) = others.split_at(21);
-        let finds = [known, second, third].map(|part| best_home(model, part));
-        let best = finds.into_iter().flatten();
+        let found = [known, second, third].map(|part| best_home(model, part));
+        let best = found.into_iter().flatten();
         let best = best.max_by(|(_, a), (_, b)| a.compare(b));
         assert_eq!(best, all, "model {model}");
     }
--- a/crates/policy/tests/long_poll.rs
+++ b/crates/policy/tests/long_poll.rs
@@ -28,48 +28,48 @@
 fn how_long_a_poll_is_held() {
     let cases = [
         Case {
-            name: "some of the step",
+            name: "held while groups are missing",
             ..PLAIN
         },
         Case {
-            name: "for what is left of it",
+            name: "held for the rest of the longest hold",
             waited_ms: 600,
             hold_ms: 250,
             ..PLAIN
         },
         Case {
-            name: "it has waited long enough",
+            name: "not held longer than that",
             waited_ms: 900,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
-            name: "all that is waited for",
+            name: "answered once all target groups are complete",
             complete_groups: 13,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
-            name: "whoever does not wait",
+            name: "not held if it may not wait",
             max_wait_ms: 0,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
-            name: "until shortly after the step is due",
+            name: "held until shortly after the step is due",
             step_age_ms: 7_800,
             hold_ms: 200,
             ..PLAIN
         },
         Case {
-            name: "what is there when the step is due is told once",
+            name: "open when the step becomes due: answered with the results so far",
             waited_ms: 300,
             step_age_ms: 8_050,
             hold_ms: 0,
             ..PLAIN
         },
         Case {
-            name: "a step that is overdue ends with its last group too",
+            name: "begun after the step was due: held for the last group again",
             waited_ms: 300,
             step_age_ms: 8_500,
             hold_ms: 550,
@@ -151,8 +151,8 @@
     ];
     for (name, earliest) in cases {
         let (at_once, held) = (mean_of(earliest, false), mean_of(earliest, true));
-        // An always open poll finds the last group at once; half of the time, the next poll is
-        // already due.
+        // A held poll is answered as soon as the last group is listed. The trainer continues
+        // then if the poll began at least POLL_INTERVAL ago, otherwise at the end of that time.
         assert!(held <= POLL_INTERVAL / 2, "{name}: {held:?}");
         assert!(
             held < at_once / 2,
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -195,8 +195,8 @@
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
     dispatcher.finish(now, WorkKey(0), &ended(Ending::Refused, Some(24)));
     while dispatcher.next_decision().is_some() {}
-    let patience = Duration::from_millis(20);
-    dispatcher.offer(now, work(1, 0, now + patience));
+    let time_to_deadline = Duration::from_millis(20);
+    dispatcher.offer(now, work(1, 0, now + time_to_deadline));
     let refused = dispatcher.next_decision();
     let late = matches!(
         refused,
@@ -211,7 +211,7 @@
 
 /// Guards against a retry delay that ends before there is room: the client is refused again.
 #[test]
-fn refused_callers_are_asked_back_once_room_opens() {
+fn the_retry_delay_covers_the_time_until_room_opens() {
     let now = Instant::now();
     let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
--- a/crates/policy/tests/scaling_repeats.rs
+++ b/crates/policy/tests/scaling_repeats.rs
@@ -54,7 +54,7 @@
 
 /// Guards against repeated orders that together exceed the limits of their zone.
 #[test]
-fn repeated_orders_keep_to_the_limits_of_both_kinds() {
+fn repeated_orders_keep_to_the_limits_of_both_capacity_types() {
     for on_demand in 0..20 {
         for spot in 0..20 {
             for is_confirmed in [false, true] {
--- a/crates/policy/tests/shared_service.rs
+++ b/crates/policy/tests/shared_service.rs
@@ -102,7 +102,7 @@
     print("bursts with estimate", &with);
     assert!(
         refused_fraction(&without) > 0.3,
-        "the load is the one to guard against"
+        "without the estimate, upstreams should refuse more than 30 % of the calls"
     );
     assert!(refused_fraction(&with) < 0.05);
     assert!(with.idle_ms * 100 < with.busy_ms);
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -57,12 +57,12 @@
         for upstream in 0..case.upstreams {
             let offset = splitmix64(u64::from(upstream)) as f64 / u64::MAX as f64;
             let slots = |rank| {
-                let fleet = EntryDemands {
+                let entry_demands = EntryDemands {
                     demands: case.demands,
                     rank,
                     known_entries: case.demands.len(),
                 };
-                ShareRange::of_entry(&fleet, capacity).slots(case.limit, offset)
+                ShareRange::of_entry(&entry_demands, capacity).slots(case.limit, offset)
             };
             let sum: u32 = (0..case.demands.len()).map(slots).sum();
             assert_eq!(sum, case.limit as u32, "{}", case.name);
@@ -73,12 +73,12 @@
 /// A busy entry gets the slots that idle ones do not need.
 #[test]
 fn a_busy_entry_gets_most_of_the_limit() {
-    let fleet = EntryDemands {
+    let entry_demands = EntryDemands {
         demands: &[0, 0, 400, 0, 0, 0, 0],
         rank: 2,
         known_entries: 7,
     };
-    assert!(ShareRange::of_entry(&fleet, 384.0).width() > 0.8);
+    assert!(ShareRange::of_entry(&entry_demands, 384.0).width() > 0.8);
 }
 
 /// Guards against overload by an entry that is partitioned from its peers and takes them for
--- a/crates/policy/tests/speed_moves.rs
+++ b/crates/policy/tests/speed_moves.rs
@@ -148,7 +148,7 @@
 
 /// Guards against avoiding an engine for an outdated expected delay.
 #[test]
-fn a_delay_ends_when_the_usual_time_becomes_unknown() {
+fn a_delay_ends_when_the_median_event_time_becomes_unknown() {
     let engine = |key| EngineState {
         key: UpstreamKey(key),
         slots: 8,
--- a/crates/policy/tests/step_pacing.rs
+++ b/crates/policy/tests/step_pacing.rs
@@ -78,9 +78,10 @@
     }
 }
 
-/// Guards against a new holder that delays the trainer before it has measured any durations.
+/// Guards against a node that has just taken over the feed and delays the trainer before it has
+/// measured any durations.
 #[test]
-fn a_feed_that_has_learnt_nothing_starts_at_once() {
+fn a_feed_without_measurements_starts_at_once() {
     let mut pacer = StepPacer::default();
     let now = Instant::now();
     assert_eq!(pacer.start_delay(100, now), Duration::ZERO);
