--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -268,7 +268,7 @@
         })
     }
 
-    /// All upstreams that are not gone, sorted by instance.
+    /// All usable upstreams, sorted by instance.
     #[must_use]
     pub fn upstreams(&self) -> Arc<Vec<Arc<Upstream>>> {
         self.upstreams.load_full()
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -16,9 +16,9 @@
 use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 
-/// How long a follower waits for the probing one. Together with the pause before its own call
-/// this stays below the recovery time after an outage that is allowed before changes have to come
-/// into force in time again.
+/// How long a follower waits for the probing one. Together with the pause before its own call this
+/// stays below the recovery time after an outage, at whose end changes have to come into force in
+/// time again.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Whether the store is unavailable, shared by the followers of one node; cheap to clone.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -15,8 +15,8 @@
 use crate::settings::NodeSettings;
 use crate::settings::SettingsError;
 
-/// Interval at which the file is read without a signal. Tooling that sends no signal takes effect
-/// within seconds, and each check costs one read.
+/// Interval at which the file is read without a signal: a change takes effect within seconds even
+/// if the operator's tooling sends none, and each check costs one read.
 pub const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The settings in force; cheap to clone.
