--- a/crates/node/src/authentication.rs
+++ b/crates/node/src/authentication.rs
@@ -97,8 +97,8 @@
 pub enum Purpose {
     /// To run a request.
     Run,
-    /// To read or end a submission of the account. Nothing runs, so the age of the configuration
-    /// does not count, and a trainer can read on while the store is unavailable.
+    /// To read or end a submission of the account. Nothing runs, so a known key is accepted at any
+    /// age of the configuration, and a trainer can read on while the store is unavailable.
     Manage,
 }
 
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -467,7 +467,7 @@
         let objective = self.route.objective();
         Ask {
             class: Class::Live,
-            // Calls are shared fairly among accounts, so that a burst of one does not delay others.
+            // Calls are admitted fairly by account: a burst of one does not delay the others.
             caller: xxh3_64(self.account.unwrap_or_default().as_bytes()),
             prefix,
             cost_tokens: 1,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -256,7 +256,7 @@
 }
 
 /// Seeds through which this node follows the store; none unless upstreams that leave may get
-/// requests for longer than a dead seed goes unnoticed.
+/// requests for at least as long as a dead seed goes unnoticed.
 fn seed_set(settings: &NodeSettings) -> SeedSet {
     let is_on =
         EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Seeds);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -55,7 +55,7 @@
     /// Listen address for other nodes.
     #[serde(default)]
     pub peer_listen: Option<SocketAddr>,
-    /// Peer addresses of the seed nodes, through which other nodes follow the store.
+    /// Peer addresses of the seed nodes, through which nodes follow the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Resources of the VM for this node.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -40,7 +40,7 @@
 pub enum CreateOutcome {
     /// This write created the object.
     Created,
-    /// An earlier write by another caller had created it.
+    /// Another write had created it before.
     AlreadyExists,
 }
 
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -35,8 +35,11 @@
 #[test]
 fn an_unknown_mechanism_is_an_error_that_names_it() {
     let error = load("unknown", r#"["movse"]"#).expect_err("it is misspelt");
-    let said = error.to_string();
-    assert!(said.contains("movse") && said.contains("moves"), "{said}");
+    let message = error.to_string();
+    assert!(
+        message.contains("movse") && message.contains("moves"),
+        "{message}"
+    );
 }
 
 /// Nodes must not order upstreams if the platform does not leave that duty to them.
@@ -45,7 +48,7 @@
     let scaling = |name, duties| {
         let orders = r#""scaling": {"order_at": "127.0.0.1:2", "calls_per_s": 50"#;
         let settings = load_with(name, &format!("{orders}{duties}}}"));
-        settings.expect("it is whole").scaling().is_some()
+        settings.expect("no key is missing").scaling().is_some()
     };
     assert!(scaling(
         "left",
--- a/crates/node/tests/store_fallback.rs
+++ b/crates/node/tests/store_fallback.rs
@@ -62,19 +62,19 @@
 fn which_nodes_are_tried() {
     let cases = [
         Case {
-            name: "one that does not answer is left alone",
+            name: "a node that does not answer is not tried for a while",
             failures: &[(2, FallbackFailure::NoAnswer)],
             after_ms: 100,
             tries: Some(3),
         },
         Case {
-            name: "the store is down: one that is turned away speaks for all",
+            name: "the store is down: a node that it refuses counts for all nodes",
             failures: &[(2, FallbackFailure::StoreRefused)],
             after_ms: 100,
             tries: None,
         },
         Case {
-            name: "none answers",
+            name: "no node answers",
             failures: &[
                 (1, FallbackFailure::NoAnswer),
                 (2, FallbackFailure::NoAnswer),
@@ -84,7 +84,7 @@
             tries: None,
         },
         Case {
-            name: "all are tried again later",
+            name: "all nodes are tried again later",
             failures: &[(2, FallbackFailure::StoreRefused)],
             after_ms: 1_600,
             tries: Some(2),
