--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -38,8 +38,8 @@
     context.follow(
         ObjectKind::Evacuations,
         FollowOptions::delayed,
-        move |news| {
-            for object in news.changes.into_iter().flat_map(Change::into_objects) {
+        move |batch| {
+            for object in batch.changes.into_iter().flat_map(Change::into_objects) {
                 if !object.reported {
                     // The receiver lives as long as the process.
                     drop(sender.send(object));
