--- a/crates/policy/src/long_poll.rs
+++ b/crates/policy/src/long_poll.rs
@@ -9,8 +9,8 @@
 //! complete. It returns all results so far, so a result is delayed by at most the hold, as by a
 //! trainer that polls less often. A poll that is open when the step becomes due is answered
 //! shortly afterwards with the results so far. Later polls are held for the last group again,
-//! since an overdue step also ends only with it. This more than halves the time from the last group until
-//! the trainer continues (test `a_trainer_goes_on_soon`).
+//! since an overdue step also ends only with it. This more than halves the time from the last
+//! group until the trainer continues (test `a_trainer_goes_on_soon`).
 
 use std::time::Duration;
 
