--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -14,11 +14,11 @@
 
 use crate::work::EntryDemands;
 
-/// Factor by which the need of an entry exceeds its known demand.
+/// Factor by which the need of an entry exceeds its known demand, besides [`HEADROOM_SLOTS`]: a
+/// caller that moves to another entry finds free slots there before its demand has been exchanged.
 const HEADROOM_FACTOR: f64 = 1.25;
 
-/// Slots by which the need of an entry exceeds its known demand as well: a caller that moves to an
-/// idle entry finds free slots there before its demand has been exchanged.
+/// Slots by which the need of an entry, also of an idle one, exceeds its known demand.
 const HEADROOM_SLOTS: f64 = 4.0;
 
 /// Fraction of its first computed share that a new entry starts with.
