--- a/crates/firweir/src/request/gate.rs
+++ b/crates/firweir/src/request/gate.rs
@@ -375,8 +375,8 @@
         self.end(ending, tokens, None);
     }
 
-    /// Reports how the request ended, and the load that the upstream told of.
-    pub fn finish_told(mut self, ending: Ending, reported_load: Option<ReportedLoad>) {
+    /// Reports how the request ended, and the load that the upstream reported.
+    pub fn finish_with_load(mut self, ending: Ending, reported_load: Option<ReportedLoad>) {
         self.end(ending, 0, reported_load);
     }
 
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -406,7 +406,7 @@
             if body.collect().await.is_ok() {
                 exchange.connection.return_to_pool();
             }
-            permit.finish_told(Ending::Refused, load);
+            permit.finish_with_load(Ending::Refused, load);
             return TryOutcome::NotRun;
         }
         if !is_own_answer || answer_head.proof.is_none() {
@@ -435,10 +435,10 @@
         let mut answer = bytes_response(head.status, body.to_bytes());
         *answer.headers_mut() = headers;
         if head.status.is_server_error() {
-            permit.finish_told(Ending::Failed, load);
+            permit.finish_with_load(Ending::Failed, load);
             return TryOutcome::FailedAnswer(answer);
         }
-        permit.finish_told(Ending::Answered, load);
+        permit.finish_with_load(Ending::Answered, load);
         TryOutcome::Answer(answer)
     }
 
--- a/crates/node/src/scoring.rs
+++ b/crates/node/src/scoring.rs
@@ -255,7 +255,7 @@
             Err(CallError::Broken) => (Attempt::Broken("no-answer"), Ending::Failed, None),
             Err(CallError::Late) => (Attempt::Broken("late"), Ending::Failed, None),
         };
-        permit.finish_told(ending, reported_load);
+        permit.finish_with_load(ending, reported_load);
         attempt
     }
 
