--- a/crates/node/src/gates.rs
+++ b/crates/node/src/gates.rs
@@ -28,7 +28,7 @@
     dispatcher: fn() -> Box<dyn Dispatcher>,
     /// Seed for random jitter, which differs by node; `None` if calls are not limited by the
     /// estimated free capacity of shared upstreams.
-    shared_seed: Option<u64>,
+    jitter_seed: Option<u64>,
     /// Sorted by service.
     by_service: Mutex<Vec<NamedGate>>,
 }
@@ -45,7 +45,7 @@
             clock,
             zone,
             dispatcher,
-            shared_seed: None,
+            jitter_seed: None,
             by_service: Mutex::default(),
         }
     }
@@ -53,9 +53,9 @@
     /// Limits calls by the estimated free capacity of upstreams where the configuration says that
     /// these are shared. The seed sets random jitter and has to differ by node.
     #[must_use]
-    pub fn with_shared_seed(self, seed: u64) -> Self {
+    pub fn with_jitter_seed(self, seed: u64) -> Self {
         Self {
-            shared_seed: Some(seed),
+            jitter_seed: Some(seed),
             ..self
         }
     }
@@ -82,7 +82,7 @@
                 .map(|upstream| self.gate_upstream(upstream))
                 .collect();
             gate.set_upstreams(&gate_upstreams, limit, &EntryDemands::SINGLE_ENTRY);
-            gate.set_shared(self.shared_seed.filter(|_| config.shares_services()));
+            gate.set_shared(self.jitter_seed.filter(|_| config.shares_services()));
         }
     }
 
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -127,7 +127,7 @@
         let affinity = xxh3_64(node.as_bytes());
         let gates = Gates::new(Arc::clone(&shared.clock), zone, dispatcher);
         let gates = if shared.mechanisms.is_enabled(Mechanism::SharedService) {
-            gates.with_shared_seed(affinity)
+            gates.with_jitter_seed(affinity)
         } else {
             gates
         };
