--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -128,7 +128,7 @@
     /// The update in a seed's answer to a request sent at `sent` (time since boot); `None` if the
     /// answer is outdated.
     fn update_if_fresh(&self, relay_answer: RelayAnswer, sent: Duration) -> Option<Update> {
-        let as_of = relay_answer.as_of_on_clock_of_asker(sent);
+        let as_of = relay_answer.as_of_on_requester_clock(sent);
         let is_up_to_date = self.is_up_to_date(&relay_answer);
         is_up_to_date.then(|| self.to_update(relay_answer, as_of))
     }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -120,7 +120,7 @@
     /// When the store had nothing newer, on the clock of the node that sent the request at `sent`.
     /// Leaves out the time in transit, so the result is never later than the true time.
     #[must_use]
-    pub fn as_of_on_clock_of_asker(&self, sent: Duration) -> Option<Duration> {
+    pub fn as_of_on_requester_clock(&self, sent: Duration) -> Option<Duration> {
         let sent_ms = sent.as_millis() as i64;
         let as_of_ms = u64::try_from(sent_ms.checked_add(self.as_of_ms?)?);
         as_of_ms.ok().map(Duration::from_millis)
