--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -2,7 +2,7 @@
 
 use arc_swap::ArcSwap;
 
-/// Growth of the number of samples above which it is reported again: each report costs a
+/// Factor by which the number of samples has to grow to be reported again: each report costs a
 /// write, and the number of engines for a model includes a reserve.
 const MIN_REPORTED_GROWTH: f64 = 1.25;
 
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -135,7 +135,7 @@
     pub version: Option<u64>,
 }
 
-/// A request for the samples of one item.
+/// A request for the sample of one item.
 #[derive(Debug)]
 pub struct DraftRequest<'a> {
     /// The item.
@@ -255,7 +255,7 @@
     Configuration,
     /// The list of upstreams.
     Upstreams,
-    /// Versions of weights that trainers announced.
+    /// Versions of weights that trainers published.
     WeightVersions,
     /// Requests to evacuate VMs that have a disk.
     Evacuations,
@@ -473,7 +473,7 @@
     /// Reads the head of an upstream's answer.
     fn answer_head(&self, head: &response::Parts) -> AnswerHead;
 
-    /// Writes the request for an item's samples.
+    /// Writes the request for an item's sample.
     ///
     /// # Errors
     ///
@@ -557,7 +557,7 @@
     /// The value is malformed.
     fn upstream(&self, object: &Object) -> Result<Upstream, BadMessage>;
 
-    /// Reads a version of weights that a trainer announced.
+    /// Reads a version of weights that a trainer published.
     ///
     /// # Errors
     ///
--- a/crates/node/src/draft_jobs.rs
+++ b/crates/node/src/draft_jobs.rs
@@ -57,7 +57,8 @@
     pub(crate) text_completed_at: Option<Instant>,
     /// Number of runs so far.
     pub(crate) runs: u32,
-    /// Runs in a row that ended with a timeout.
+    /// Runs in a row that timed out before their first event; at least 1 after a run that timed
+    /// out later.
     pub(crate) timeouts_in_row: u32,
     /// Tells the run to leave its engine.
     pub(crate) leave: Arc<Notify>,
--- a/crates/node/src/drafting.rs
+++ b/crates/node/src/drafting.rs
@@ -76,7 +76,7 @@
 }
 
 impl Drafting {
-    /// Creates a generator without samples.
+    /// Creates it without samples.
     #[must_use]
     pub fn new(shared: Shared, scoring: Scoring) -> Self {
         Self {
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -25,7 +25,7 @@
 pub struct Engine {
     /// The engine.
     pub upstream: Arc<Upstream>,
-    /// The models assigned to it, its own model first.
+    /// The models assigned to it, in the order in which [`assign_models`] chose them.
     pub models: Vec<Arc<str>>,
 }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -284,7 +284,7 @@
         found.map(Arc::clone)
     }
 
-    /// The newest version of each model that a trainer announced.
+    /// The newest version of each model that a trainer published.
     #[must_use]
     pub fn latest_versions(&self) -> Arc<Vec<ModelVersion>> {
         self.latest_versions.load_full()
@@ -368,7 +368,7 @@
         }
     }
 
-    /// Applies versions that trainers announced. Older versions are ignored.
+    /// Applies versions that trainers published. Older versions are ignored.
     pub fn apply_versions(&self, change: Change) {
         let mut latest_versions = Vec::clone(&self.latest_versions.load());
         for object in change.into_objects() {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -143,7 +143,7 @@
     pub local_member: LocalMember,
     /// Decodes entries of upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// Whether the store rejects this node's calls.
+    /// Whether the store is unavailable to this node.
     pub outage: Outage,
     /// Reads per second that the store can serve to all nodes together.
     pub store_reads_per_s: f64,
@@ -274,7 +274,7 @@
 impl Follower {
     /// Waits until this node needs the kind. Versions of weights matter only to nodes that follow
     /// engines; each new version costs an answer to every node that polls for them, and trainers
-    /// announce some every second.
+    /// publish some every second.
     async fn wait_until_needed(&self) {
         if self.kind == ObjectKind::WeightVersions {
             self.sources.interest.wait_until_engines_followed().await;
@@ -386,7 +386,9 @@
             Freshness::Newest => WATCH_WAIT,
             Freshness::Seconds => STALE_WATCH_WAIT,
         };
-        let wait = options.max_watch.map_or(wait, |most| wait.min(most));
+        let wait = options
+            .max_watch
+            .map_or(wait, |max_watch| wait.min(max_watch));
         let watch = StoreCall::Watch {
             kind: self.kind,
             since,
--- a/crates/node/src/follow_seeds.rs
+++ b/crates/node/src/follow_seeds.rs
@@ -57,7 +57,8 @@
         None
     }
 
-    /// An update from the first seed that is up to date; `None` if there is none.
+    /// An update from the first seed that is up to date or, for a node that knows no upstreams, an
+    /// outdated list; `None` if there is none.
     pub(crate) async fn poll_seeds(&mut self) -> Option<Update> {
         let name = path_name_of(self.kind)?;
         let now = self.sources.clock.now();
--- a/crates/node/src/holder.rs
+++ b/crates/node/src/holder.rs
@@ -100,7 +100,7 @@
     unanswered_calls: u32,
 }
 
-/// Parts of a [`DutyHolder`].
+/// Dependencies of a [`DutyHolder`].
 #[derive(Debug, Clone)]
 pub struct DutyHolderParts {
     /// This node.
--- a/crates/node/src/interest.rs
+++ b/crates/node/src/interest.rs
@@ -232,8 +232,9 @@
         }
     }
 
-    /// Adjusts the slices to the size of the fleet. A slice that is one step narrower than needed
-    /// is kept, because each change of a slice transfers all of its entries again.
+    /// Adjusts the slices to the size of the fleet. A slice is replaced only if it is more than one
+    /// leading zero (a factor of two) narrower than needed, or if all engines are needed, because
+    /// each change of a slice transfers all of its entries again.
     fn choose_slices(&mut self) {
         for tracked in &mut self.tracked_models {
             let chosen = pool_slice(self.total_upstreams, tracked.model.engines);
--- a/crates/node/src/live.rs
+++ b/crates/node/src/live.rs
@@ -96,7 +96,7 @@
     NotRun,
     /// Nothing was sent.
     NotSent,
-    /// The request was sent, at least in part, and there is no complete answer.
+    /// The request may have been sent, and there is no usable answer.
     Unknown,
 }
 
@@ -230,6 +230,7 @@
         let service = call.service;
         let gate = self.gates.get_or_create(service);
         gate.count_offered();
+        // Calls have no prompt; calls with an equal hash prefer the same upstreams.
         let prefix = if self.shared.mechanisms.is_enabled(Mechanism::CallAffinity) {
             self.affinity
         } else {
--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -51,7 +51,8 @@
     pub timeout_ms: u64,
     /// Services that may run the requests.
     pub targets: Vec<Target>,
-    /// Maximum number of upstreams to which one attempt of a client is sent.
+    /// Maximum number of upstreams to which one attempt of a client is sent; also the number of
+    /// failed runs after which an item is abandoned, and of failures of a reward call.
     pub max_attempts: u32,
     /// Latency objective of calls, in milliseconds; 0 if there is none.
     pub objective_ms: u64,
@@ -92,9 +93,9 @@
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Number of samples that an engine runs concurrently; 0 for other services.
+    /// Number of samples that an engine runs concurrently; 0 for services that run no samples.
     pub slots: u32,
-    /// Number of tokens that fit into an engine's memory; 0 for other services.
+    /// Number of tokens that fit into an engine's memory; 0 for services that run no samples.
     pub memory_tokens: u64,
     /// Limits of autoscaling; `None` if nodes may not order upstreams of it.
     pub scaling: Option<ScalingLimits>,
@@ -257,7 +258,7 @@
     pub zone: String,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It is leaving and gets no new work.
+    /// It will be removed soon; nodes that know this send it no new work.
     pub leaving: bool,
     /// Spot upstream: the platform may reclaim it at short notice.
     pub is_spot: bool,
@@ -266,7 +267,8 @@
 }
 
 impl Upstream {
-    /// Whether both agree in everything that matters for routing, that is all but their weights.
+    /// Whether both agree in everything that matters for routing: all but the models that they
+    /// have loaded and whether they are spot upstreams.
     #[must_use]
     pub fn has_same_routing(&self, other: &Self) -> bool {
         self.instance == other.instance
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -74,7 +74,7 @@
 
 /// A draining node accepts clients until this long before its end, time enough for an answer.
 /// The balancer removes a node after two failed checks, but if few nodes are left in a zone it
-/// goes on to use draining ones, so that these have to keep listening.
+/// keeps using draining ones, so these have to keep listening.
 const CLIENT_FINISH_TIME: Duration = Duration::from_millis(1_500);
 
 /// The process ends this long before it would be killed.
@@ -294,13 +294,13 @@
         .ok_or(NodeError::Missing("peer_listen"))?;
     let request_handler = build_handler(&context, peer_listen);
     start_followers(&context, &request_handler);
-    let process_linger = settings.grace().saturating_sub(KILL_MARGIN);
-    let linger = process_linger.saturating_sub(CLIENT_FINISH_TIME);
+    let time_to_exit = settings.grace().saturating_sub(KILL_MARGIN);
+    let client_accept_time = time_to_exit.saturating_sub(CLIENT_FINISH_TIME);
     let clients = serve(
         &context,
         &request_handler,
         client_listen,
-        linger,
+        client_accept_time,
         RequestHandler::handle_client,
     )
     .await?;
@@ -308,7 +308,7 @@
         &context,
         &request_handler,
         ready_listen,
-        process_linger,
+        time_to_exit,
         RequestHandler::handle_client,
     )
     .await?;
@@ -316,7 +316,7 @@
         &context,
         &request_handler,
         peer_listen,
-        process_linger,
+        time_to_exit,
         RequestHandler::handle_peer,
     )
     .await?;
@@ -329,11 +329,11 @@
     let drained = async {
         clients.await;
         // Submissions still run here, and other nodes forward the questions about them.
-        tokio::time::sleep(process_linger.saturating_sub(linger)).await;
+        tokio::time::sleep(time_to_exit.saturating_sub(client_accept_time)).await;
     };
     let terminated = async {
         context.wait_for_termination().await?;
-        tokio::time::sleep(process_linger).await;
+        tokio::time::sleep(time_to_exit).await;
         Ok::<(), io::Error>(())
     };
     tokio::select! {
--- a/crates/node/src/outage.rs
+++ b/crates/node/src/outage.rs
@@ -1,8 +1,8 @@
 //! Lets a single follower probe an unavailable store.
 //!
-//! The store may reject calls for seconds, and each node follows four kinds of its objects. If all
-//! four followers retried on their own, each rejected call would be billed. Instead, the first
-//! follower that was rejected probes the store, and the others wait until it gets an answer. After
+//! The store may refuse calls for seconds, and each node follows four kinds of its objects. If all
+//! four followers retried on their own, each refused call would be billed. Instead, the first
+//! follower that was refused probes the store, and the others wait until it gets an answer. After
 //! [`MAX_PROBE_WAIT`] they try themselves, since the store may fail for one kind of call only.
 
 use std::sync::Arc;
@@ -17,8 +17,7 @@
 use crate::dialect::StoreError;
 
 /// How long a follower waits for the probing one. Together with the pause before its own call this
-/// stays below the recovery time after an outage, at whose end changes have to come into force in
-/// time again.
+/// is shorter than the time after an outage within which changes may still take effect late.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Whether the store is unavailable, shared by the followers of one node; cheap to clone.
@@ -35,7 +34,7 @@
 }
 
 impl Outage {
-    /// Records that a call for this kind failed. Only a rejection, after which nothing was done,
+    /// Records that a call for this kind failed. Only a refusal, after which nothing was done,
     /// or a failed connection indicates an outage; any other error may concern this call only.
     pub fn record_failure(&self, kind: ObjectKind, error: &StoreError) {
         if matches!(error, StoreError::Refused(_) | StoreError::Unreachable) {
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Whether the store rejects this node's calls.
+    /// Whether the store is unavailable to this node.
     #[must_use]
     pub fn is_ongoing(&self) -> bool {
         self.lock().is_some()
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -155,7 +155,7 @@
 pub struct RoutingDigest {
     /// Hash of the service that the upstream belongs to.
     pub service: u64,
-    /// Hash of all other properties except the versions of its weights.
+    /// Hash of its start time, address, availability zone, slots and `leaving`.
     pub details: u64,
     /// Hash of its id, for the rendezvous hashing of models over engines.
     pub engine: u64,
@@ -395,9 +395,9 @@
     }
 
     /// Limits how long requests for a kind are held; `None` restores the default.
-    pub fn set_max_hold(&self, kind: ObjectKind, most: Option<Duration>) {
+    pub fn set_max_hold(&self, kind: ObjectKind, max_hold: Option<Duration>) {
         if let Some(relayed_kind) = self.relayed_kind(kind) {
-            let max_ms = most.map_or(0, |most| most.as_millis() as u64);
+            let max_ms = max_hold.map_or(0, |max_hold| max_hold.as_millis() as u64);
             relayed_kind.max_hold_ms.store(max_ms, Ordering::Relaxed);
         }
     }
@@ -531,8 +531,9 @@
         }
     }
 
-    /// Applies a full list. If most known objects are still in it, nodes get the differences.
-    /// Otherwise they get the full list, which makes them keep expired entries for a while.
+    /// Applies a full list. Nodes get the differences, unless a service has lost more than half of
+    /// its objects or nothing was known. Then they get the full list, which makes them keep expired
+    /// entries for a while.
     fn apply_list(
         &mut self,
         revision: u64,
--- a/crates/node/src/request_handler.rs
+++ b/crates/node/src/request_handler.rs
@@ -327,13 +327,13 @@
 
     /// Answers a node that follows the store through this seed.
     async fn relay_to_follower(&self, name: &str, query: Option<&str>) -> Response<Body> {
-        let question = query.and_then(RelayRequest::from_query);
-        let (Some(kind), Some(question)) = (kind_from_path_name(name), question) else {
+        let request = query.and_then(RelayRequest::from_query);
+        let (Some(kind), Some(request)) = (kind_from_path_name(name), request) else {
             return empty(StatusCode::NOT_FOUND);
         };
         let now = || self.clock.now();
         let arrived = self.boot_clock.since_boot();
-        let mut answer = self.relay.answer(kind, &question, now).await;
+        let mut answer = self.relay.answer(kind, &request, now).await;
         answer.nodes = self.home_finder.roster.len();
         json(StatusCode::OK, &answer.relative_to(arrived))
     }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -37,7 +37,8 @@
 /// A node that has not polled for this long may be gone: it has missed two polls.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(2 * POLL_TIMEOUT.as_millis() as u64);
 
-/// An offered home counts as one for this long, until it appears in the list of duties.
+/// An offered home counts as assigned until it appears in the list of duties, but at most for this
+/// long.
 const OFFER_VALID_FOR: Duration = Duration::from_secs(5);
 
 /// What a node announces of itself to seeds.
@@ -45,7 +46,7 @@
 pub struct Member {
     /// The node.
     pub runner: NodeRef,
-    /// Capacity of its VM, as a fraction of [`crate::settings::REFERENCE_VM`].
+    /// Capacity of its VM, relative to [`crate::settings::REFERENCE_VM`].
     pub capacity: f64,
     /// It knows its configuration and does not drain.
     pub takes_steps: bool,
@@ -66,7 +67,7 @@
 pub struct HomeOffer {
     /// The node.
     pub home: NodeRef,
-    /// Capacity that the model would get, as a fraction of [`crate::settings::REFERENCE_VM`].
+    /// Capacity that the model would get, relative to [`crate::settings::REFERENCE_VM`].
     #[serde(rename = "share")]
     pub capacity_share: f64,
     /// Orders offers with equal shares.
@@ -97,18 +98,18 @@
 /// What this node announces of itself; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct LocalMember {
-    runner: Option<NodeRef>,
+    node: Option<NodeRef>,
     capacity: f64,
     takes_steps: Arc<AtomicBool>,
 }
 
 impl LocalMember {
-    /// A node that accepts no steps yet. `runner` is `None` if it accepts no requests from other
+    /// A node that accepts no steps yet. `node` is `None` if it accepts no requests from other
     /// nodes; then it never announces itself.
     #[must_use]
-    pub fn new(runner: Option<NodeRef>, capacity: f64) -> Self {
+    pub fn new(node: Option<NodeRef>, capacity: f64) -> Self {
         Self {
-            runner,
+            node,
             capacity,
             takes_steps: Arc::default(),
         }
@@ -123,7 +124,7 @@
     #[must_use]
     pub fn header(&self) -> Option<HeaderValue> {
         let member = Member {
-            runner: self.runner.clone()?,
+            runner: self.node.clone()?,
             capacity: self.capacity,
             takes_steps: self.takes_steps.load(Ordering::Relaxed),
         };
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -30,7 +30,7 @@
                 demand.samples = demand.samples.saturating_add(samples);
                 demand.largest_step = demand.largest_step.max(samples);
             }
-            // No trainer uses a model without a latest version.
+            // No trainer uses a model without a published version.
             None => demand.is_complete &= !versions.iter().any(|version| version.model == model),
         }
     }
--- a/crates/node/src/scaling/scaler.rs
+++ b/crates/node/src/scaling/scaler.rs
@@ -45,8 +45,8 @@
 /// because each check wakes up every VM of the fleet.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Minimum delay before an order that was not taken is sent again; jitter of up to the same
-/// time is added.
+/// Minimum delay after an order that the platform did not accept, or a failed access to the store;
+/// jitter of up to the same time is added.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Timeout of a report; an upstream answers within milliseconds.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -76,8 +76,9 @@
     /// Time in ms within which a configuration takes effect on all nodes.
     #[serde(default = "default_config_apply_ms")]
     pub config_apply_ms: u64,
-    /// Time in ms after the revocation of a key from which no call with it may run, even on nodes
-    /// that are cut off; `None` if only nodes in contact with the store have to apply it.
+    /// Time in ms after the revocation of a key from which no newly sent call with it may run,
+    /// even on nodes that are cut off; `None` if only nodes in contact with the store have to
+    /// apply it.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
     /// Reporting of the usage of accounts; `None` if it is not reported.
@@ -125,7 +126,7 @@
 }
 
 impl VmSettings {
-    /// Capacity in multiples of [`REFERENCE_VM`], by the scarcest resource.
+    /// Capacity relative to [`REFERENCE_VM`], by the scarcest resource.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let processor = self.cores * self.core_share;
--- a/crates/node/src/usage/counter.rs
+++ b/crates/node/src/usage/counter.rs
@@ -224,7 +224,8 @@
         is_seed || self.lock().own.first_window().is_some()
     }
 
-    /// Sends this node's counts to the holder, if one is known, and new ones to a seed node too.
+    /// Sends this node's counts to the holder, if one is known. If some are new, sends all of them
+    /// to a seed node too.
     async fn send_counts(&self, duty: &DutyHolder) -> Result<(), CallError> {
         let (counts, has_new_counts) = {
             let mut state = self.lock();
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -54,7 +54,7 @@
 /// Timeout of a report; the platform answers within milliseconds.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a report that the platform did not take, or a failed access to the store.
+/// Pause after a report that the platform did not accept, or a failed access to the store.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Number of reports kept in the store, of which a successor sends the newest ones again.
@@ -258,7 +258,7 @@
         report.ok()
     }
 
-    /// Sends a report and returns whether the platform has taken it.
+    /// Sends a report and returns whether the platform has accepted it.
     async fn send(&self, window_report: &WindowReport, usage: &UsageSettings) -> bool {
         let parts = &self.parts;
         let Some(epoch) = parts.holder.verified_epoch().await else {
--- a/crates/node/src/weights.rs
+++ b/crates/node/src/weights.rs
@@ -93,7 +93,7 @@
     shared: Arc<Shared>,
 }
 
-/// Parts of a [`WeightUpdater`].
+/// Dependencies of a [`WeightUpdater`].
 #[derive(Debug)]
 pub struct WeightUpdaterParts {
     /// The duty of giving orders.
--- a/crates/node/tests/connection_pool.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -44,7 +44,8 @@
 }
 
 /// Guards against unbounded idle connections: a node that ordered weights at thousands of engines
-/// kept a connection to each, ran out of file descriptors and accepted no more callers.
+/// kept a connection to each, ran out of file descriptors as engines were added, and accepted no
+/// more callers.
 #[tokio::test]
 async fn idle_connections_are_bounded_in_all() {
     let open = Arc::new(AtomicUsize::new(0));
--- a/crates/node/tests/head_view.rs
+++ b/crates/node/tests/head_view.rs
@@ -48,9 +48,9 @@
     };
     let cases = [
         case("just read", Some(10_000), 10_100, true),
-        case("between two looks", Some(10_000), 11_900, true),
-        case("a look is late", Some(10_000), 12_500, false),
-        case("suspended since the last look", Some(10_000), 40_000, false),
+        case("between two reads", Some(10_000), 11_900, true),
+        case("a read is late", Some(10_000), 12_500, false),
+        case("suspended since the last read", Some(10_000), 40_000, false),
         case("never read", None, 500, false),
         Case {
             unanswered_ms: Some(14_000),
--- a/crates/node/tests/interest.rs
+++ b/crates/node/tests/interest.rs
@@ -107,14 +107,14 @@
     interest.set_total_upstreams(10_000);
     let wait = Duration::from_secs(1);
     let followed = tokio::time::timeout(wait, interest.wait_until_engines_followed());
-    assert!(followed.await.is_err(), "it only takes callers");
+    assert!(followed.await.is_err(), "it only serves live calls");
     let drafts = async {
         tokio::time::sleep(wait / 2).await;
         interest.set_drafted_models(Instant::now(), &[MODEL]);
     };
     let followed = tokio::time::timeout(wait, interest.wait_until_engines_followed());
     let (followed, ()) = tokio::join!(followed, drafts);
-    assert!(followed.is_ok(), "it has got a step");
+    assert!(followed.is_ok(), "it drafts a model now");
 }
 
 struct Case {
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -15,8 +15,8 @@
     ObjectKind::Duties,
 ];
 
-/// The store rejects a node's calls for 5 s. Without the guard, each of the node's four followers
-/// retried every 600 ms, and 73 nodes made 1,300 calls that were all rejected and all charged.
+/// The store refuses a node's calls for 5 s. Without the guard, each of the node's four followers
+/// retried every 600 ms, and 73 nodes made 1,300 calls that were all refused and all charged.
 #[tokio::test(start_paused = true)]
 async fn one_follower_probes_an_unavailable_store() {
     let outage = Outage::default();
@@ -43,7 +43,10 @@
         calls += own;
         assert!(back < Duration::from_secs(7), "back after {back:?}");
     }
-    assert!(calls <= 20, "{calls} calls, 36 if each asks for itself");
+    assert!(
+        calls <= 20,
+        "{calls} calls, 36 if each follower retries on its own"
+    );
 }
 
 struct Case {
@@ -56,7 +59,7 @@
 fn errors_that_indicate_an_outage() {
     let cases = [
         Case {
-            name: "turned away",
+            name: "refused",
             error: StoreError::Refused(StatusCode::TOO_MANY_REQUESTS),
             is_on: true,
         },
--- a/crates/node/tests/roster.rs
+++ b/crates/node/tests/roster.rs
@@ -75,12 +75,16 @@
         },
         Case {
             assigned: Some(1),
-            ..case("half of a large one is a small one", both(), Some(2))
-                .with_capacity_of_second(0.6)
+            ..case(
+                "half of the large VM is less than the whole small one",
+                both(),
+                Some(2),
+            )
+            .with_capacity_of_second(0.6)
         },
         Case {
             silent_ms: 4_000,
-            ..case("they have not asked for long", both(), None)
+            ..case("they have not polled for a long time", both(), None)
         },
     ];
     for case in cases {
@@ -123,7 +127,7 @@
     let first = roster.home_for(now, &question("m", None), &[]);
     for model in ["a", "b", "c"] {
         let other = roster.home_for(now, &question(model, None), &[]);
-        assert_ne!(other, first, "models that come at once are spread");
+        assert_ne!(other, first, "models that start together are spread");
     }
     let again = roster.home_for(now, &question("m", None), &[]);
     assert_eq!(again, first);
@@ -153,7 +157,9 @@
 fn announcements_are_small() {
     let runner = member(1, 1.0).runner;
     let local_member = LocalMember::new(Some(runner), 0.06);
-    let header = local_member.header().expect("it takes other nodes");
+    let header = local_member
+        .header()
+        .expect("it accepts requests of other nodes");
     assert!(header.len() < 200, "{} bytes", header.len());
     let announced: Member = serde_json::from_slice(header.as_bytes()).expect("JSON");
     assert!(!announced.takes_steps, "it knows no configuration yet");
--- a/crates/node/tests/store_fallback.rs
+++ b/crates/node/tests/store_fallback.rs
@@ -68,7 +68,7 @@
             tries: Some(3),
         },
         Case {
-            name: "the store is down: a node that it refuses counts for all nodes",
+            name: "the store is down: after it refused one node, no other one is tried",
             failures: &[(2, FallbackFailure::StoreRefused)],
             after_ms: 100,
             tries: None,
