--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -17,7 +17,7 @@
     /// May be retried after any failure.
     Idempotent,
     /// Runs at most once per attempt of a client.
-    Charged,
+    NonIdempotent,
     /// A stream of events.
     Streaming {
         /// The stream may continue at another upstream after the last event that arrived.
