--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -137,7 +137,7 @@
 
 /// A request for the sample of one item.
 #[derive(Debug)]
-pub struct DraftRequest<'a> {
+pub struct GenerationRequest<'a> {
     /// The item.
     pub item: &'a Item,
     /// Host of the route.
@@ -478,7 +478,10 @@
     /// # Errors
     ///
     /// The item's path, headers or body are unusable.
-    fn draft_request(&self, draft: &DraftRequest<'_>) -> Result<Request<Full<Bytes>>, BadMessage>;
+    fn generation_request(
+        &self,
+        generation: &GenerationRequest<'_>,
+    ) -> Result<Request<Full<Bytes>>, BadMessage>;
 
     /// Writes the request for an item's score.
     ///
--- a/crates/node/src/draft_run.rs
+++ b/crates/node/src/draft_run.rs
@@ -13,7 +13,7 @@
 
 use crate::connection_pool::CallError;
 use crate::connection_pool::StreamingResponse;
-use crate::dialect::DraftRequest;
+use crate::dialect::GenerationRequest;
 use crate::dialect::StreamEvent;
 use crate::model::Item;
 use crate::model::Upstream;
@@ -100,14 +100,14 @@
         if is_over() {
             return Attempt::Moved;
         }
-        let sample = DraftRequest {
+        let sample = GenerationRequest {
             item: self.item,
             host: &self.submission.head.host,
             upstream: self.upstream,
             after_event: progress.last_event,
             account: self.submission.head.account.as_deref(),
         };
-        let request = match self.shared.dialect.draft_request(&sample) {
+        let request = match self.shared.dialect.generation_request(&sample) {
             Ok(request) => request,
             Err(error) => {
                 self.shared.journal.event(
