--- a/crates/node/src/disk.rs
+++ b/crates/node/src/disk.rs
@@ -1,4 +1,4 @@
-//! The node on a VM with a disk, which keeps nothing there.
+//! Node on a VM with a disk; it stores nothing there and only confirms evacuations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,60 +8,63 @@
 
 use crate::change::Change;
 use crate::dialect::Dialect;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreCall;
-use crate::follow::Following;
-use crate::node::Base;
+use crate::follow::FollowOptions;
+use crate::node::NodeContext;
 use crate::node::NodeError;
 use crate::node::serve_metrics;
 use crate::settings::NodeSettings;
 use crate::store::Store;
 
-/// Within this time a request to empty a VM is reported as done, once it is known.
-const REPORT_WITHIN: Duration = Duration::from_secs(1);
+/// Longest random delay before an evacuation is reported as done.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// Pause before a report that failed is tried again.
-const REPORT_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before the retry of a failed report.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Runs a node on a VM with a disk. No VM keeps anything there, so that requests to empty
-/// any of them are reported as done at once, be it another one: not every VM with a disk
-/// has a node.
+/// Runs a node on a VM with a disk. No VM stores anything on its disk, so the node reports the
+/// evacuation of any VM as done, not only of its own: not every VM with a disk has a node.
 ///
 /// # Errors
 ///
-/// Signals cannot be taken.
+/// The metrics address cannot be listened at, or no signal handler can be installed.
 pub async fn run_disk(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Result<(), NodeError> {
-    let base = Base::new(settings, dialect);
-    serve_metrics(&base).await?;
-    let store = base.store.clone();
-    let journal = base.journal.clone();
-    let (asked, mut asking) = tokio::sync::mpsc::unbounded_channel();
-    base.follow(Kind::Evacuations, Following::seconds_late, move |news| {
-        for object in news.changes.into_iter().flat_map(Change::into_objects) {
-            if !object.reported {
-                // The receiver lives as long as the process.
-                drop(asked.send(object));
+    let context = NodeContext::new(settings, dialect);
+    serve_metrics(&context).await?;
+    let store = context.store.clone();
+    let journal = context.journal.clone();
+    let (sender, mut requests) = tokio::sync::mpsc::unbounded_channel();
+    context.follow(
+        ObjectKind::Evacuations,
+        FollowOptions::delayed,
+        move |batch| {
+            for object in batch.changes.into_iter().flat_map(Change::into_objects) {
+                if !object.reported {
+                    // The receiver lives as long as the process.
+                    drop(sender.send(object));
+                }
             }
-        }
-    });
-    base.tasks.spawn(async move {
-        while let Some(object) = asking.recv().await {
-            // All such nodes hear of it at the same time, and one report is enough.
-            let spread = rand::rng().random_range(0.0..1.0);
-            tokio::time::sleep(REPORT_WITHIN.mul_f64(spread)).await;
+        },
+    );
+    context.tasks.spawn(async move {
+        while let Some(object) = requests.recv().await {
+            // All such nodes get the request at the same time, and one report is enough.
+            let jitter = rand::rng().random_range(0.0..1.0);
+            tokio::time::sleep(MAX_REPORT_DELAY.mul_f64(jitter)).await;
             report_evacuated(&store, &journal, &object.name).await;
         }
     });
-    base.journal.event("node_started", &[]);
-    base.until_terminated().await?;
-    base.journal.event("node_ended", &[]);
+    context.journal.event("node_started", &[]);
+    context.wait_for_termination().await?;
+    context.journal.event("node_ended", &[]);
     Ok(())
 }
 
-/// Reports a VM as empty, until the store has taken it.
+/// Reports the evacuation of a VM as done; retries until the store has accepted the report.
 async fn report_evacuated(store: &Store, journal: &Journal, name: &str) {
     loop {
-        let outcome = match store.read(Kind::Evacuations, name).await {
+        let outcome = match store.read(ObjectKind::Evacuations, name).await {
             Ok(Some(object)) if !object.reported => {
                 let (name, revision) = (object.name, object.revision);
                 let report = StoreCall::ReportEvacuated { name, revision };
@@ -72,7 +75,7 @@
         };
         if let Err(error) = outcome {
             journal.event("evacuation_unreported", &[("cause", &error)]);
-            tokio::time::sleep(REPORT_AGAIN).await;
+            tokio::time::sleep(REPORT_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,18 +1,16 @@
-//! One VM of firweir on a platform that keeps what must last: live calls,
-//! submissions of trainers and orders of weights in one process, with no state of
-//! its own that outlives it.
+//! One node of firweir: live calls, submissions of trainers and weight orders in one process.
+//! All durable state is in the store of the platform that the node runs on.
 //!
-//! What the platform says is translated by an adapter ([`dialect::Dialect`]); all
-//! decisions, state and recovery are here and in `firweir-policy`.
+//! An adapter ([`dialect::Dialect`]) translates the platform's messages; all decisions, state
+//! and recovery are here and in `firweir-policy`.
 
 pub mod account;
 pub mod authentication;
 pub mod change;
+pub mod connection_pool;
 pub mod demand;
-pub mod detour;
 pub mod dialect;
 pub mod disk;
-mod door;
 mod draft_jobs;
 mod draft_run;
 pub mod drafting;
@@ -24,8 +22,8 @@
 pub mod gates;
 pub mod holder;
 pub mod interest;
-pub mod link;
 pub mod live;
+pub mod load_logger;
 pub mod mechanisms;
 pub mod model;
 pub mod node;
@@ -33,6 +31,7 @@
 mod progress;
 pub mod relay;
 pub mod reload;
+mod request_handler;
 pub mod respond;
 pub mod roster;
 pub mod sample_order;
@@ -41,7 +40,7 @@
 pub mod settings;
 pub mod shared;
 pub mod store;
+pub mod store_fallback;
 pub mod submission;
 pub mod usage;
-pub mod vitals;
 pub mod weights;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: what its parts are, and how it starts, drains and ends.
+//! Startup, wiring of the components, drain and shutdown of a node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,142 +23,143 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-use crate::detour::Detour;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
-use crate::door::Door;
+use crate::dialect::ObjectKind;
 use crate::drafting::Drafting;
 use crate::duty::SystemBootClock;
 use crate::fleet::Fleet;
 use crate::fleet::FleetParts;
 use crate::fleet::UpstreamList;
-use crate::follow::Following;
-use crate::follow::News;
+use crate::follow::ChangeBatch;
+use crate::follow::FollowOptions;
+use crate::follow::SeedSet;
 use crate::follow::Seeds;
-use crate::follow::SeedsNow;
 use crate::follow::Sources;
 use crate::follow::follow;
-use crate::holder::Holder;
-use crate::holder::HolderParts;
-use crate::link::Links;
-use crate::live::Live;
+use crate::holder::DutyHolder;
+use crate::holder::DutyHolderParts;
+use crate::live::LiveCalls;
+use crate::load_logger::LoadLogger;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::outage::Outage;
 use crate::relay::Relay;
-use crate::relay::age_most;
+use crate::relay::max_age_for;
 use crate::reload;
-use crate::reload::InForce;
-use crate::reload::Reload;
+use crate::reload::CurrentSettings;
+use crate::reload::SettingsReloader;
+use crate::request_handler::RequestHandler;
+use crate::roster::LocalMember;
 use crate::roster::Roster;
-use crate::roster::Standing;
 use crate::scaling::scaler::Scaler;
 use crate::scaling::scaler::ScalerParts;
 use crate::scoring::Scoring;
 use crate::settings::NodeSettings;
 use crate::shared::Shared;
 use crate::store::Store;
+use crate::store_fallback::StoreFallback;
 use crate::submission::home_finder::HomeFinder;
 use crate::submission::homes::Homes;
 use crate::submission::manager::SubmissionManager;
 use crate::submission::manager::SubmissionManagerParts;
 use crate::submission::records::NodeRef;
-use crate::usage::counting::Counting;
-use crate::usage::counting::CountingParts;
-use crate::usage::report::Reporter;
-use crate::usage::report::ReporterParts;
-use crate::vitals::Vitals;
-use crate::weights::Weights;
-use crate::weights::WeightsParts;
+use crate::usage::counter::UsageCounter;
+use crate::usage::counter::UsageCounterParts;
+use crate::usage::report::UsageReporter;
+use crate::usage::report::UsageReporterParts;
+use crate::weights::WeightUpdater;
+use crate::weights::WeightUpdaterParts;
 
-/// Clients are taken until this long before a node that drains ends, which does for an
-/// answer. The balancer stops after two misses, but it goes on with nodes that drain where
-/// few others are left in a zone: they must find somebody listening.
-const FINISH_CLIENTS: Duration = Duration::from_millis(1_500);
+/// A draining node accepts clients until this long before its end, time enough for an answer.
+/// The balancer removes a node after two failed checks, but if few nodes are left in a zone it
+/// keeps using draining ones, so these have to keep listening.
+const CLIENT_FINISH_TIME: Duration = Duration::from_millis(1_500);
 
 /// The process ends this long before it would be killed.
-const END_BEFORE_KILL: Duration = Duration::from_secs(1);
+const KILL_MARGIN: Duration = Duration::from_secs(1);
 
-/// Pause between two watches of the list of upstreams on a node that drafts nothing, as a
-/// part of the time for which an upstream that leaves may get requests. Each load of weights
-/// changes an entry, and each answer to a watch costs every node a call. The rest of that
-/// time is for the watch and for a request that is on its way.
-const IDLE_PAUSE_PART: f64 = 0.6;
+/// Pause between two watches of the list of upstreams on a node that has no samples to place, as
+/// a fraction of the time for which an upstream that leaves may get requests. Each load of
+/// weights changes an entry, and each answer to a watch costs every node a call. The rest of that
+/// time is left for the watch and for requests in flight.
+const IDLE_PAUSE_FRACTION: f64 = 0.6;
 
-/// Pause between two watches of the list of upstreams on a seed: what changes meanwhile
-/// comes in one answer, and each answer costs a call. An engine that has loaded is known
-/// this much later at most.
+/// Pause between two watches of the list of upstreams on a seed node. Changes in between come in
+/// one answer, and each answer costs a call. At most this much later it is known that an engine
+/// has loaded weights.
 const SEED_PAUSE: Duration = Duration::from_millis(200);
 
-/// Nodes follow seeds where upstreams that leave may get requests for this long: a node
-/// works with what is some time old, and notices a dead seed late (`relay`).
-const RELAY_FROM: Duration = Duration::from_millis(2_800);
+/// Nodes follow seeds if upstreams that leave may get requests for at least this long: what a
+/// node gets from a seed is older, and a dead seed is noticed late (see `relay`).
+const MIN_LEAVING_TO_RELAY: Duration = Duration::from_millis(2_800);
 
-/// Time between looks at time-bound decisions of live calls.
-const TICK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two checks of decisions that depend on the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 quick_error! {
     /// Why a node cannot run.
     #[derive(Debug)]
     pub enum NodeError {
-        /// An address cannot be listened at, or a signal not be taken.
+        /// An address cannot be listened at, or a signal handler cannot be installed.
         Io(err: io::Error) {
             display("cannot start: {err}")
             source(err)
             from()
         }
-        /// A key of the settings is missing that this role needs.
+        /// The settings lack a key that this role needs.
         Missing(key: &'static str) {
             display("settings lack {key}")
         }
     }
 }
 
-/// What both roles of a VM are built from.
+/// Components that nodes of both roles need: front nodes, which serve clients, and nodes on VMs
+/// with a disk.
 #[derive(Debug, Clone)]
-pub(crate) struct Base {
-    /// Settings of the start.
+pub(crate) struct NodeContext {
+    /// Settings as read at startup.
     pub(crate) settings: NodeSettings,
-    in_force: InForce,
-    detour: Detour,
+    current_settings: CurrentSettings,
+    fallback: StoreFallback,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     pub(crate) journal: Journal,
     exposition: Exposition,
-    links: Links,
+    connections: ConnectionPool,
     pub(crate) store: Store,
     sources: Sources,
     net: SharedNet,
     pub(crate) tasks: Tasks,
-    off: Off,
+    mechanisms: EnabledMechanisms,
 }
 
-impl Base {
+impl NodeContext {
     pub(crate) fn new(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let exposition = Exposition::default();
         let journal = Journal::exposing(Arc::clone(&clock), &settings.node, exposition.clone());
-        let links = Links::new(Arc::clone(&clock));
+        let connections = ConnectionPool::new(Arc::clone(&clock));
         let start_ms = clock.since_epoch().as_millis();
-        let writer = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
-        let detour = Detour::new(detour_nodes(&settings));
+        let writer_id = format!("{}-{start_ms}-{:08x}", settings.node, rand::random::<u32>());
+        let fallback = StoreFallback::new(fallback_nodes(&settings));
         let store = Store::new(
             Arc::clone(&dialect),
-            links.clone(),
+            connections.clone(),
             settings.store,
             Arc::clone(&clock),
             journal.clone(),
-            &writer,
-            detour.clone(),
+            &writer_id,
+            fallback.clone(),
         );
         let sources = Sources {
             store: store.clone(),
-            links: links.clone(),
+            connections: connections.clone(),
             seeds: Seeds::default(),
-            relay: Arc::new(Relay::new(age_most(settings.news_bound()))),
+            relay: Arc::new(Relay::new(max_age_for(settings.max_propagation_delay()))),
             interest: Arc::default(),
-            standing: standing_of(&settings),
+            local_member: local_member_of(&settings),
             dialect: Arc::clone(&dialect),
             outage: Outage::default(),
             store_reads_per_s: settings.store_reads_per_s,
@@ -166,117 +167,122 @@
             boot_clock: Arc::new(SystemBootClock),
             journal: journal.clone(),
         };
-        let off = Off::of(&settings.mechanisms_off);
+        let mechanisms = EnabledMechanisms::all_except(&settings.mechanisms_off);
         if !settings.mechanisms_off.is_empty() {
             let names = format_args!("{:?}", settings.mechanisms_off);
             journal.event("mechanisms_off", &[("names", &names)]);
         }
-        let base = Self {
-            off,
+        let context = Self {
+            mechanisms,
             exposition,
             sources,
-            detour,
-            in_force: InForce::new(settings.clone()),
+            fallback,
+            current_settings: CurrentSettings::new(settings.clone()),
             settings,
             dialect,
             clock,
             journal,
-            links,
+            connections,
             store,
             net: Arc::new(TcpNet),
             tasks: Tasks::new(),
         };
-        base.take_seeds();
-        base
+        context.apply_seeds();
+        context
     }
 
-    /// Goes by the seeds of the settings in force.
-    fn take_seeds(&self) {
-        let settings = self.in_force.now();
-        self.detour.set_nodes(detour_nodes(&settings));
-        let seeds = seeds_now(&settings);
-        let follows_store = seeds.asked.is_empty();
+    /// Applies the seeds of the current settings.
+    fn apply_seeds(&self) {
+        let settings = self.current_settings.now();
+        self.fallback.set_nodes(fallback_nodes(&settings));
+        let seeds = seed_set(&settings);
+        let follows_store = seeds.polled.is_empty();
         self.sources.seeds.set(seeds);
         let interest = &self.sources.interest;
-        interest.take_follows_store(follows_store);
+        interest.set_follows_store(follows_store);
     }
 
+    /// Spawns a task that follows the objects of a kind and passes changes to `apply`.
     pub(crate) fn follow(
         &self,
-        kind: Kind,
-        how: impl Fn() -> Following + Send + Sync + 'static,
-        take: impl FnMut(News) + Send + 'static,
+        kind: ObjectKind,
+        options: impl Fn() -> FollowOptions + Send + Sync + 'static,
+        apply: impl FnMut(ChangeBatch) + Send + 'static,
     ) {
         self.tasks
-            .spawn(follow(self.sources.clone(), kind, how, take));
+            .spawn(follow(self.sources.clone(), kind, options, apply));
     }
 
-    /// Waits for SIGTERM, and takes in settings that change meanwhile.
-    pub(crate) async fn until_terminated(&self) -> io::Result<()> {
+    /// Waits for SIGTERM, and applies changed settings meanwhile.
+    pub(crate) async fn wait_for_termination(&self) -> io::Result<()> {
         let mut term = signal(SignalKind::terminate())?;
-        let mut hang_up = signal(SignalKind::hangup())?;
-        let mut reload = Reload::new(self.in_force.clone(), self.journal.clone());
+        let mut hangup = signal(SignalKind::hangup())?;
+        let mut reload = SettingsReloader::new(self.current_settings.clone(), self.journal.clone());
         loop {
             tokio::select! {
                 _ = term.recv() => break,
-                _ = hang_up.recv() => self.journal.event("settings_signalled", &[]),
-                () = tokio::time::sleep(reload::LOOK_EVERY) => {}
+                _ = hangup.recv() => self.journal.event("settings_signalled", &[]),
+                () = tokio::time::sleep(reload::CHECK_INTERVAL) => {}
             }
-            if reload.look() {
-                self.take_seeds();
+            if reload.reload_if_changed() {
+                self.apply_seeds();
             }
         }
         self.journal.event("drain_started", &[]);
-        self.sources.standing.set_takes_steps(false);
+        self.sources.local_member.set_takes_steps(false);
         self.tasks.drain();
         Ok(())
     }
 }
 
-/// What this node tells seeds of itself.
-fn standing_of(settings: &NodeSettings) -> Standing {
+/// What this node announces about itself to seeds.
+fn local_member_of(settings: &NodeSettings) -> LocalMember {
     let runner = settings.peer_listen.map(|address| NodeRef {
         node: settings.node.clone(),
         address,
     });
-    Standing::new(runner, settings.vm.capacity())
+    LocalMember::new(runner, settings.vm.capacity())
 }
 
-/// Nodes through which calls of the store may go: the seeds without this node.
-fn detour_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
-    let own = settings.peer_listen;
-    let is_on = Off::of(&settings.mechanisms_off).leaves(Mechanism::Detour);
+/// Nodes through which calls of the store may go: the seeds except this node.
+fn fallback_nodes(settings: &NodeSettings) -> Vec<SocketAddr> {
+    let this_address = settings.peer_listen;
+    let is_on =
+        EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Detour);
     let seeds = settings.seeds.iter().copied().filter(|_| is_on);
     seeds
-        .filter(|seed| own.is_some_and(|own| own != *seed))
+        .filter(|seed| this_address.is_some_and(|this_address| this_address != *seed))
         .collect()
 }
 
-/// Where this node follows the store: from seeds only where upstreams that leave may
-/// get requests for as long as a dead seed goes unnoticed.
-fn seeds_now(settings: &NodeSettings) -> SeedsNow {
-    let is_on = Off::of(&settings.mechanisms_off).leaves(Mechanism::Seeds);
-    let relayed = is_on && settings.leaving() >= RELAY_FROM;
-    let own = settings.peer_listen;
-    let is_seed = own.is_some_and(|own| settings.seeds.contains(&own));
+/// Seeds through which this node follows the store; none unless upstreams that leave may get
+/// requests for at least as long as a dead seed goes unnoticed.
+fn seed_set(settings: &NodeSettings) -> SeedSet {
+    let is_on =
+        EnabledMechanisms::all_except(&settings.mechanisms_off).is_enabled(Mechanism::Seeds);
+    let is_relayed = is_on && settings.leaving() >= MIN_LEAVING_TO_RELAY;
+    let this_address = settings.peer_listen;
+    let is_seed = this_address.is_some_and(|this_address| settings.seeds.contains(&this_address));
     let seeds = settings.seeds.iter().copied();
-    let others = seeds.filter(|seed| relayed && own.is_some_and(|own| own != *seed));
+    let others = seeds.filter(|seed| {
+        is_relayed && this_address.is_some_and(|this_address| this_address != *seed)
+    });
     let others: Vec<SocketAddr> = others.collect();
-    SeedsNow {
-        asked: if is_seed { Vec::new() } else { others.clone() },
+    SeedSet {
+        polled: if is_seed { Vec::new() } else { others.clone() },
         others,
-        is_seed: relayed && is_seed,
+        is_seed: is_relayed && is_seed,
     }
 }
 
-/// Runs a node that takes clients until SIGTERM has drained it.
+/// Runs a node that serves clients until it has drained after SIGTERM.
 ///
 /// # Errors
 ///
 /// The settings lack an address, or it cannot be listened at.
 pub async fn run_front(settings: NodeSettings, dialect: Arc<dyn Dialect>) -> Result<(), NodeError> {
-    let base = Base::new(settings, dialect);
-    let settings = &base.settings;
+    let context = NodeContext::new(settings, dialect);
+    let settings = &context.settings;
     let client_listen = settings
         .client_listen
         .ok_or(NodeError::Missing("client_listen"))?;
@@ -286,176 +292,202 @@
     let peer_listen = settings
         .peer_listen
         .ok_or(NodeError::Missing("peer_listen"))?;
-    let node = build(&base, peer_listen);
-    start_followers(&base, &node);
-    let outlive = settings.grace().saturating_sub(END_BEFORE_KILL);
-    let linger = outlive.saturating_sub(FINISH_CLIENTS);
-    let clients = serve(&base, &node, client_listen, linger, Door::client).await?;
-    let ready = serve(&base, &node, ready_listen, outlive, Door::client).await?;
-    let peers = serve(&base, &node, peer_listen, outlive, Door::peer).await?;
-    serve_metrics(&base).await?;
-    base.tasks.spawn(ready);
-    base.tasks.spawn(peers);
-    base.journal
+    let request_handler = build_handler(&context, peer_listen);
+    start_followers(&context, &request_handler);
+    let time_to_exit = settings.grace().saturating_sub(KILL_MARGIN);
+    let client_accept_time = time_to_exit.saturating_sub(CLIENT_FINISH_TIME);
+    let clients = serve(
+        &context,
+        &request_handler,
+        client_listen,
+        client_accept_time,
+        RequestHandler::handle_client,
+    )
+    .await?;
+    let ready = serve(
+        &context,
+        &request_handler,
+        ready_listen,
+        time_to_exit,
+        RequestHandler::handle_client,
+    )
+    .await?;
+    let peers = serve(
+        &context,
+        &request_handler,
+        peer_listen,
+        time_to_exit,
+        RequestHandler::handle_peer,
+    )
+    .await?;
+    serve_metrics(&context).await?;
+    context.tasks.spawn(ready);
+    context.tasks.spawn(peers);
+    context
+        .journal
         .event("node_started", &[("address", &client_listen)]);
     let drained = async {
         clients.await;
-        // Submissions go on here while other nodes pass their questions on.
-        tokio::time::sleep(outlive.saturating_sub(linger)).await;
+        // Submissions still run here, and other nodes forward the questions about them.
+        tokio::time::sleep(time_to_exit.saturating_sub(client_accept_time)).await;
     };
     let terminated = async {
-        base.until_terminated().await?;
-        tokio::time::sleep(outlive).await;
+        context.wait_for_termination().await?;
+        tokio::time::sleep(time_to_exit).await;
         Ok::<(), io::Error>(())
     };
     tokio::select! {
         () = drained => {}
         ended = terminated => ended?,
     }
-    base.journal.event("node_ended", &[]);
+    context.journal.event("node_ended", &[]);
     Ok(())
 }
 
-/// Serves counters and latencies as text, if the settings say where.
-pub(crate) async fn serve_metrics(base: &Base) -> io::Result<()> {
-    let Some(at) = base.settings.metrics_listen else {
+/// Serves counters and latencies as text if the settings have an address for it.
+pub(crate) async fn serve_metrics(context: &NodeContext) -> io::Result<()> {
+    let Some(address) = context.settings.metrics_listen else {
         return Ok(());
     };
-    let exposition = base.exposition.clone();
+    let exposition = context.exposition.clone();
     let handler = server::handler(move |_request| {
         let text = exposition.text();
         Box::pin(async move { bytes_response(StatusCode::OK, text.into()) })
     });
-    let linger = base.settings.grace();
-    let (_, serving) = server::serve(&base.net, &base.tasks, at, linger, handler).await?;
-    base.tasks.spawn(serving);
+    let linger = context.settings.grace();
+    let (_, serving) =
+        server::serve(&context.net, &context.tasks, address, linger, handler).await?;
+    context.tasks.spawn(serving);
     Ok(())
 }
 
-fn build(base: &Base, peer_listen: SocketAddr) -> Arc<Door> {
-    let me = NodeRef {
-        node: base.settings.node.clone(),
+/// Creates the components of a front node and spawns their tasks.
+fn build_handler(context: &NodeContext, peer_listen: SocketAddr) -> Arc<RequestHandler> {
+    let this_node = NodeRef {
+        node: context.settings.node.clone(),
         address: peer_listen,
     };
-    let (clock, journal) = (&base.clock, &base.journal);
-    let dialect = &base.dialect;
+    let (clock, journal) = (&context.clock, &context.journal);
+    let dialect = &context.dialect;
     let fleet = Fleet::new(FleetParts {
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
         dialect: Arc::clone(dialect),
     });
-    let counting = Counting::new(CountingParts {
-        process: base.store.writer().to_owned(),
-        settings: base.in_force.clone(),
-        links: base.links.clone(),
+    let usage_counter = UsageCounter::new(UsageCounterParts {
+        process: context.store.writer_id().to_owned(),
+        settings: context.current_settings.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
     });
     let shared = Shared {
-        counting: counting.clone(),
+        usage_counter: usage_counter.clone(),
         fleet: Arc::clone(&fleet),
-        interest: Arc::clone(&base.sources.interest),
+        interest: Arc::clone(&context.sources.interest),
         dialect: Arc::clone(dialect),
-        links: base.links.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
-        settings: base.in_force.clone(),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
+        settings: context.current_settings.clone(),
         journal: journal.clone(),
-        off: base.off,
+        mechanisms: context.mechanisms,
     };
-    let live = Live::new(
+    let live = LiveCalls::new(
         shared.clone(),
-        &base.settings.node,
-        base.settings.zone.clone(),
+        &context.settings.node,
+        context.settings.zone.clone(),
     );
-    let scoring = Scoring::new(shared.clone(), base.settings.zone.clone());
+    let scoring = Scoring::new(shared.clone(), context.settings.zone.clone());
     let drafting = Drafting::new(shared, scoring.clone());
-    base.tasks.spawn(drafting.clone().run());
+    context.tasks.spawn(drafting.clone().run());
     let homes = Homes::new(
-        base.store.clone(),
+        context.store.clone(),
         journal.clone(),
         Arc::clone(fleet.demands()),
     );
     let home_finder = HomeFinder {
-        seeds: base.sources.seeds.clone(),
+        seeds: context.sources.seeds.clone(),
         roster: Arc::new(Roster::default()),
         homes: homes.clone(),
-        links: base.links.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     };
     let submissions = SubmissionManager::new(SubmissionManagerParts {
-        this_node: me.clone(),
-        store: base.store.clone(),
-        links: base.links.clone(),
+        this_node: this_node.clone(),
+        store: context.store.clone(),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
         drafting: drafting.clone(),
         homes: homes.clone(),
         home_finder: home_finder.clone(),
-        outage: base.sources.outage.clone(),
-        settings: base.in_force.clone(),
-        off: base.off,
+        outage: context.sources.outage.clone(),
+        settings: context.current_settings.clone(),
+        mechanisms: context.mechanisms,
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
     });
-    let holder = Holder::new(HolderParts {
-        me: me.clone(),
-        settings: base.in_force.clone(),
-        store: base.store.clone(),
-        outage: base.sources.outage.clone(),
-        links: base.links.clone(),
+    let holder = DutyHolder::new(DutyHolderParts {
+        this_node: this_node.clone(),
+        settings: context.current_settings.clone(),
+        store: context.store.clone(),
+        outage: context.sources.outage.clone(),
+        connections: context.connections.clone(),
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
         journal: journal.clone(),
     });
-    base.tasks.spawn(counting.clone().run(holder.clone()));
-    let reporter = Reporter::new(ReporterParts {
-        counting: counting.clone(),
+    context
+        .tasks
+        .spawn(usage_counter.clone().run(holder.clone()));
+    let reporter = UsageReporter::new(UsageReporterParts {
+        usage_counter: usage_counter.clone(),
         holder: holder.clone(),
-        store: base.store.clone(),
-        links: base.links.clone(),
+        store: context.store.clone(),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
-        settings: base.in_force.clone(),
+        settings: context.current_settings.clone(),
         clock: Arc::clone(clock),
         journal: journal.clone(),
     });
-    base.tasks.spawn(reporter.run());
-    if base.off.leaves(Mechanism::Scaling) && base.settings.scaling().is_some() {
+    context.tasks.spawn(reporter.run());
+    if context.mechanisms.is_enabled(Mechanism::Scaling) && context.settings.scaling().is_some() {
         let scaler = Scaler::new(ScalerParts {
             holder: holder.clone(),
             fleet: Arc::clone(&fleet),
-            store: base.store.clone(),
-            links: base.links.clone(),
+            store: context.store.clone(),
+            connections: context.connections.clone(),
             dialect: Arc::clone(dialect),
-            settings: base.in_force.clone(),
+            settings: context.current_settings.clone(),
             clock: Arc::clone(clock),
             journal: journal.clone(),
         });
-        base.tasks.spawn(scaler.run());
+        context.tasks.spawn(scaler.run());
     }
-    let weights = Weights::new(WeightsParts {
+    let weights = WeightUpdater::new(WeightUpdaterParts {
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
-        interest: Arc::clone(&base.sources.interest),
-        links: base.links.clone(),
+        interest: Arc::clone(&context.sources.interest),
+        connections: context.connections.clone(),
         dialect: Arc::clone(dialect),
         clock: Arc::clone(clock),
-        off: base.off,
+        mechanisms: context.mechanisms,
         journal: journal.clone(),
     });
-    base.tasks.spawn(weights.run());
-    let vitals = Vitals {
-        me,
-        seeds: base.sources.seeds.clone(),
+    context.tasks.spawn(weights.run());
+    let load_logger = LoadLogger {
+        this_node,
+        seeds: context.sources.seeds.clone(),
         homes: homes.clone(),
         holder: holder.clone(),
         fleet: Arc::clone(&fleet),
         journal: journal.clone(),
     };
-    base.tasks.spawn(vitals.run());
-    Arc::new(Door {
+    context.tasks.spawn(load_logger.run());
+    Arc::new(RequestHandler {
         dialect: Arc::clone(dialect),
         fleet,
         live,
@@ -465,117 +497,139 @@
         homes,
         home_finder,
         holder,
-        counting,
-        relay: Arc::clone(&base.sources.relay),
-        links: base.links.clone(),
-        store: base.settings.store,
+        usage_counter,
+        relay: Arc::clone(&context.sources.relay),
+        connections: context.connections.clone(),
+        store: context.settings.store,
         clock: Arc::clone(clock),
-        boot_clock: Arc::clone(&base.sources.boot_clock),
-        settings: base.in_force.clone(),
+        boot_clock: Arc::clone(&context.sources.boot_clock),
+        settings: context.current_settings.clone(),
         journal: journal.clone(),
-        tasks: base.tasks.clone(),
-        off: base.off,
+        tasks: context.tasks.clone(),
+        mechanisms: context.mechanisms,
     })
 }
 
-fn start_followers(base: &Base, node: &Arc<Door>) {
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let scoring = node.scoring.clone();
-    let interest = Arc::clone(&base.sources.interest);
-    let settings = base.in_force.clone();
-    let (standing, tasks) = (base.sources.standing.clone(), base.tasks.clone());
-    let (relay, configured) = (Arc::clone(&base.sources.relay), Arc::clone(&fleet));
-    let how = move || {
-        let has_accounts = !configured.config().accounts.is_empty();
-        let limits = has_accounts.then(|| settings.now().news_limits());
-        relay.hold_at_most(Kind::Configuration, limits.map(|limits| limits.hold));
-        Following {
-            watch_most: limits.map(|limits| limits.watch),
-            ..Following::at_once()
+/// Spawns the tasks that follow the store and pass changes to the components, and the periodic
+/// checks.
+fn start_followers(context: &NodeContext, request_handler: &Arc<RequestHandler>) {
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let scoring = request_handler.scoring.clone();
+    let interest = Arc::clone(&context.sources.interest);
+    let settings = context.current_settings.clone();
+    let (local_member, tasks) = (context.sources.local_member.clone(), context.tasks.clone());
+    let (relay, config_fleet) = (Arc::clone(&context.sources.relay), Arc::clone(&fleet));
+    let options = move || {
+        let has_accounts = !config_fleet.config().accounts.is_empty();
+        let limits = has_accounts.then(|| settings.now().config_wait_limits());
+        relay.set_max_hold(
+            ObjectKind::Configuration,
+            limits.map(|limits| limits.max_hold),
+        );
+        FollowOptions {
+            max_watch: limits.map(|limits| limits.max_watch),
+            ..FollowOptions::immediate()
         }
     };
-    base.follow(Kind::Configuration, how, move |news| {
-        for change in news.changes {
-            fleet.take_config(change);
+    context.follow(ObjectKind::Configuration, options, move |batch| {
+        for change in batch.changes {
+            fleet.apply_config(change);
         }
-        fleet.hear_of_config(news.as_of);
-        interest.take_config(&fleet.config());
-        standing.set_takes_steps(!tasks.is_draining());
-        live.take_fleet();
-        scoring.take_fleet();
+        fleet.record_config_confirmed(batch.as_of);
+        interest.set_config(&fleet.config());
+        local_member.set_takes_steps(!tasks.is_draining());
+        live.update_upstreams();
+        scoring.update_upstreams();
     });
     let list = Arc::new(std::sync::Mutex::new(UpstreamList::default()));
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let (scoring, links) = (node.scoring.clone(), node.links.clone());
-    let followed = Arc::clone(&list);
-    let drafting = node.drafting.clone();
-    let interest = Arc::clone(&base.sources.interest);
-    let idle_pause = base.settings.leaving().mul_f64(IDLE_PAUSE_PART);
-    let how = move || Following {
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let (scoring, connections) = (
+        request_handler.scoring.clone(),
+        request_handler.connections.clone(),
+    );
+    let followed_list = Arc::clone(&list);
+    let drafting = request_handler.drafting.clone();
+    let interest = Arc::clone(&context.sources.interest);
+    let idle_pause = context.settings.leaving().mul_f64(IDLE_PAUSE_FRACTION);
+    let options = move || FollowOptions {
         pause: if drafting.is_busy() {
             Duration::ZERO
         } else {
             idle_pause
         },
         seed_pause: SEED_PAUSE,
-        ..Following::at_once()
+        ..FollowOptions::immediate()
     };
-    base.follow(Kind::Upstreams, how, move |news| {
-        let mut list = followed
+    context.follow(ObjectKind::Upstreams, options, move |batch| {
+        let mut list = followed_list
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        fleet.take_extent(news.extent);
-        if let Some(listed) = news.extent.listed {
-            interest.take_listed(listed);
+        fleet.set_extent(batch.extent);
+        if let Some(total) = batch.extent.total_objects {
+            interest.set_total_upstreams(total);
         }
-        let taken = fleet.take_upstreams(&mut list, news.changes);
-        for address in taken.restarted {
-            links.forget(address);
+        let changes = fleet.apply_upstreams(&mut list, batch.changes);
+        for address in changes.restarted {
+            connections.close_idle(address);
         }
-        // Live and reward calls do not ask which weights an upstream has.
-        if taken.whereabouts {
-            live.take_fleet();
-            scoring.take_fleet();
+        // The weights of an upstream do not matter to live and reward calls.
+        if changes.routing_changed {
+            live.update_upstreams();
+            scoring.update_upstreams();
         }
     });
-    let fleet = Arc::clone(&node.fleet);
-    let holder = node.holder.clone();
-    let how = move || Following {
-        freshness: if holder.is_held() {
+    let fleet = Arc::clone(&request_handler.fleet);
+    let holder = request_handler.holder.clone();
+    let options = move || FollowOptions {
+        freshness: if holder.holds_duty() {
             Freshness::Newest
         } else {
             Freshness::Seconds
         },
-        ..Following::at_once()
+        ..FollowOptions::immediate()
     };
-    base.follow(Kind::WeightVersions, how, move |news| {
-        for change in news.changes {
-            fleet.take_version(change);
+    context.follow(ObjectKind::WeightVersions, options, move |batch| {
+        for change in batch.changes {
+            fleet.apply_versions(change);
         }
     });
-    let (homes, holder) = (node.homes.clone(), node.holder.clone());
-    let how = Following::seconds_late;
-    base.follow(Kind::Duties, how, move |news| {
-        for change in news.changes {
-            holder.take_change(&change);
+    let (homes, holder) = (
+        request_handler.homes.clone(),
+        request_handler.holder.clone(),
+    );
+    let options = FollowOptions::delayed;
+    context.follow(ObjectKind::Duties, options, move |batch| {
+        for change in batch.changes {
+            holder.apply_change(&change);
             homes.apply(change);
         }
     });
-    let submissions = node.submissions.clone();
-    base.tasks.spawn(async move { submissions.resume().await });
-    let (fleet, live) = (Arc::clone(&node.fleet), Arc::clone(&node.live));
-    let scoring = node.scoring.clone();
-    base.tasks.spawn(async move {
+    let submissions = request_handler.submissions.clone();
+    context
+        .tasks
+        .spawn(async move { submissions.resume().await });
+    let (fleet, live) = (
+        Arc::clone(&request_handler.fleet),
+        Arc::clone(&request_handler.live),
+    );
+    let scoring = request_handler.scoring.clone();
+    context.tasks.spawn(async move {
         loop {
-            tokio::time::sleep(TICK_EVERY).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             let mut list = list
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
-            let dropped = fleet.drop_gone(&mut list);
+            let has_dropped = fleet.drop_expired(&mut list);
             drop(list);
-            if dropped {
-                live.take_fleet();
-                scoring.take_fleet();
+            if has_dropped {
+                live.update_upstreams();
+                scoring.update_upstreams();
             }
             live.tick();
             scoring.tick();
@@ -584,18 +638,20 @@
 }
 
 async fn serve<F, A>(
-    base: &Base,
-    node: &Arc<Door>,
-    at: SocketAddr,
+    context: &NodeContext,
+    request_handler: &Arc<RequestHandler>,
+    address: SocketAddr,
     linger: Duration,
-    answer: F,
+    handle: F,
 ) -> io::Result<impl Future<Output = ()> + Send + use<F, A>>
 where
-    F: Fn(Arc<Door>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
+    F: Fn(Arc<RequestHandler>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
     A: Future<Output = Response<Body>> + Send + 'static,
 {
-    let node = Arc::clone(node);
-    let handler = server::handler(move |request| Box::pin(answer(Arc::clone(&node), request)));
-    let (_, serving) = server::serve(&base.net, &base.tasks, at, linger, handler).await?;
+    let request_handler = Arc::clone(request_handler);
+    let handler =
+        server::handler(move |request| Box::pin(handle(Arc::clone(&request_handler), request)));
+    let (_, serving) =
+        server::serve(&context.net, &context.tasks, address, linger, handler).await?;
     Ok(serving)
 }
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -1,4 +1,4 @@
-//! Tries and waiting time of a live call of a service that many nodes share.
+//! Admission rules, tries and waiting time of one live call.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::AtomicU64;
@@ -11,23 +11,25 @@
 
 /// The admission rules that apply to one call, and counters for its log line.
 #[derive(Debug, Default)]
-pub struct Progress {
-    /// Whether it starts only where a shared upstream likely has a free slot.
+pub struct CallProgress {
+    /// Whether the call starts only where a shared upstream is likely to have a free slot.
     pub is_shared: bool,
-    /// Its priority, 0 being the highest; `None` if its service does not order calls by priority.
+    /// Priority of the call, 0 being the highest; `None` if its service does not order calls by
+    /// priority.
     pub priority: Option<u32>,
-    /// Milliseconds that it has waited for a free slot.
+    /// Time that the call has waited for a free slot, in milliseconds.
     waited_ms: AtomicU64,
     tries: AtomicU32,
 }
 
-impl Progress {
-    /// Takes the rules from the configuration in force when the call arrives.
-    pub fn of(shared: &Shared, service: &str, account: Option<&str>, route: &Route) -> Self {
+impl CallProgress {
+    /// Takes the rules for a new call from the current configuration.
+    pub fn for_call(shared: &Shared, service: &str, account: Option<&str>, route: &Route) -> Self {
         let config = shared.fleet.config();
-        let is_shared = shared.off.leaves(Mechanism::SharedService) && config.shares_services();
+        let is_shared =
+            shared.mechanisms.is_enabled(Mechanism::SharedService) && config.shares_services();
         let has_priorities =
-            shared.off.leaves(Mechanism::Priorities) && config.has_priorities(service);
+            shared.mechanisms.is_enabled(Mechanism::Priorities) && config.has_priorities(service);
         let by_priority = is_shared && has_priorities;
         Self {
             is_shared,
@@ -37,18 +39,18 @@
     }
 
     /// Adds the time that the call waited before a try or a refusal.
-    pub fn note_wait(&self, waited: Duration) {
+    pub fn record_wait(&self, waited: Duration) {
         let waited_ms = waited.as_millis() as u64;
         self.waited_ms.fetch_add(waited_ms, Relaxed);
     }
 
-    /// Whether it has waited for a free slot.
+    /// Whether the call has waited for a free slot.
     pub fn has_waited(&self) -> bool {
         self.waited_ms.load(Relaxed) > 0
     }
 
     /// Counts a try that was sent to an upstream.
-    pub fn note_try(&self) {
+    pub fn record_try(&self) {
         self.tries.fetch_add(1, Relaxed);
     }
 
--- a/crates/node/src/scaling/demand.rs
+++ b/crates/node/src/scaling/demand.rs
@@ -9,11 +9,13 @@
 /// home has reported any.
 #[must_use]
 pub fn demand_of(fleet: &Fleet, service: &str) -> Option<Demand> {
-    let (upstreams, named) = (fleet.upstreams(), fleet.named());
-    let of_service = upstreams.iter().filter(|held| held.service == service);
+    let (upstreams, versions) = (fleet.upstreams(), fleet.latest_versions());
+    let of_service = upstreams
+        .iter()
+        .filter(|upstream| upstream.service == service);
     let mut models: Vec<&str> = of_service
         .flat_map(|upstream| &upstream.models)
-        .map(|held| held.model.as_str())
+        .map(|weights| weights.model.as_str())
         .collect();
     models.sort_unstable();
     models.dedup();
@@ -23,13 +25,13 @@
         is_complete: true,
     };
     for model in models {
-        match fleet.demands().of(model) {
+        match fleet.demands().samples_of(model) {
             Some(samples) => {
                 demand.samples = demand.samples.saturating_add(samples);
                 demand.largest_step = demand.largest_step.max(samples);
             }
-            // A model without a named version is used by no trainer.
-            None => demand.is_complete &= !named.iter().any(|held| held.model == model),
+            // No trainer uses a model without a published version.
+            None => demand.is_complete &= !versions.iter().any(|version| version.model == model),
         }
     }
     (demand.samples > 0).then_some(demand)
@@ -37,11 +39,13 @@
 
 /// Number of requests that an upstream of a service runs at once.
 #[must_use]
-pub fn slots_of(fleet: &Fleet, service: &Service) -> u32 {
+pub fn slots_per_upstream(fleet: &Fleet, service: &Service) -> u32 {
     if service.slots > 0 {
         return service.slots;
     }
     let upstreams = fleet.upstreams();
-    let of_service = upstreams.iter().filter(|held| held.service == service.name);
-    of_service.map(|held| held.slots).min().unwrap_or(1)
+    let of_service = upstreams
+        .iter()
+        .filter(|upstream| upstream.service == service.name);
+    of_service.map(|upstream| upstream.slots).min().unwrap_or(1)
 }
--- a/crates/node/src/scaling/drain.rs
+++ b/crates/node/src/scaling/drain.rs
@@ -10,8 +10,9 @@
 /// Leaving upstreams of autoscaled services; none where nodes do not order upstreams.
 #[must_use]
 pub fn leaving_engines(shared: &Shared) -> Vec<Arc<Upstream>> {
-    let is_on = shared.off.leaves(Mechanism::Scaling) && shared.settings.now().scaling().is_some();
-    if !is_on {
+    let is_enabled = shared.mechanisms.is_enabled(Mechanism::Scaling)
+        && shared.settings.now().scaling().is_some();
+    if !is_enabled {
         return Vec::new();
     }
     let (config, upstreams) = (shared.fleet.config(), shared.fleet.upstreams());
@@ -21,6 +22,6 @@
     };
     let leaving = upstreams
         .iter()
-        .filter(|held| held.leaving && is_scaled(&held.service));
+        .filter(|upstream| upstream.leaving && is_scaled(&upstream.service));
     leaving.map(Arc::clone).collect()
 }
--- a/crates/node/src/scaling/calls.rs
+++ b/crates/node/src/scaling/sending.rs
@@ -9,45 +9,45 @@
 use crate::dialect::DutyAnswer;
 use crate::dialect::ScaleOrder;
 use crate::dialect::StoreError;
-use crate::scaling::scaler::Progress;
-use crate::scaling::scaler::Scaled;
+use crate::scaling::scaler::EpochState;
+use crate::scaling::scaler::ScaledService;
 use crate::scaling::scaler::Scaler;
-use crate::scaling::scaler::places_of;
+use crate::scaling::scaler::indices_of;
 use crate::settings::ScalingSettings;
 
-/// Time-out of a call to the platform. A new holder waits 400 ms in addition to the lease, so
+/// Timeout of a call to the platform. A new holder waits 400 ms in addition to the lease, so
 /// that a late order of its predecessor still arrives a full lease before its own.
 const SEND_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause before the platform is asked again for upstreams that it did not have.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+/// Delay before upstreams are ordered again that the platform did not have.
+const COOLDOWN: Duration = Duration::from_secs(5);
 
-/// Fraction of the allowed calls per second that orders use; the rest is left to other duties.
-const CALLS_PART: f64 = 0.5;
+/// Fraction of the allowed calls per second that orders use; the rest is for other duties.
+const CALL_RATE_FRACTION: f64 = 0.5;
 
 impl Scaler {
     /// Sends the orders of a service that are recorded but not confirmed by the platform.
     pub(super) async fn send_due(
         &self,
-        progress: &mut Progress,
-        scaled: &Scaled<'_>,
+        state: &mut EpochState,
+        scaled: &ScaledService<'_>,
         settings: &ScalingSettings,
     ) -> Result<(), StoreError> {
-        for at in places_of(progress, scaled) {
+        for index in indices_of(state, scaled) {
             for capacity_type in CAPACITY_TYPES {
-                let unconfirmed = progress.subjects[at].line(capacity_type).unconfirmed;
+                let unconfirmed = state.all_orders[index].orders_of(capacity_type).unconfirmed;
                 let now = self.parts.clock.now();
-                let Some(unconfirmed) = unconfirmed.filter(|held| held.from <= now) else {
+                let Some(unconfirmed) = unconfirmed.filter(|order| order.not_before <= now) else {
                     continue;
                 };
-                self.await_rate_limit(progress, settings).await;
-                let Some(answer) = self.send(progress, at, &unconfirmed.order, settings).await
+                self.await_rate_limit(state, settings).await;
+                let Some(answer) = self.send(state, index, &unconfirmed.order, settings).await
                 else {
                     return Ok(());
                 };
-                self.note_sent(progress, at, &unconfirmed.order, scaled, answer);
+                self.log_answer(state, index, &unconfirmed.order, scaled, answer);
                 if !self
-                    .take_answer(progress, at, capacity_type, answer)
+                    .record_answer(state, index, capacity_type, answer)
                     .await?
                 {
                     return Ok(());
@@ -58,10 +58,10 @@
     }
 
     /// Waits until the rate limit allows another call.
-    async fn await_rate_limit(&self, progress: &Progress, settings: &ScalingSettings) {
-        let apart = Duration::from_secs_f64(1.0 / (settings.calls_per_s * CALLS_PART));
+    async fn await_rate_limit(&self, state: &EpochState, settings: &ScalingSettings) {
+        let interval = Duration::from_secs_f64(1.0 / (settings.calls_per_s * CALL_RATE_FRACTION));
         let now = self.parts.clock.now();
-        let next = progress.last_sent.map_or(now, |sent| sent + apart);
+        let next = state.last_sent.map_or(now, |sent| sent + interval);
         tokio::time::sleep(next.saturating_duration_since(now)).await;
     }
 
@@ -69,17 +69,17 @@
     /// the duty now.
     async fn send(
         &self,
-        progress: &mut Progress,
-        at: usize,
+        state: &mut EpochState,
+        index: usize,
         order: &Order,
         settings: &ScalingSettings,
     ) -> Option<DutyAnswer> {
         let parts = &self.parts;
-        let epoch = self.verified(progress.epoch).await?;
-        let subject = &progress.subjects[at];
+        let epoch = self.verified(state.epoch).await?;
+        let orders = &state.all_orders[index];
         let request = parts.dialect.scale_order(&ScaleOrder {
-            service: &subject.service,
-            zone: &subject.zone,
+            service: &orders.service,
+            zone: &orders.zone,
             capacity_type: order.capacity_type,
             count: order.count,
             holder: parts.holder.name(),
@@ -88,8 +88,10 @@
         if !parts.holder.may_act(epoch) {
             return None;
         }
-        progress.last_sent = Some(parts.clock.now());
-        let answer = parts.links.call(settings.order_at, request, SEND_TIMEOUT);
+        state.last_sent = Some(parts.clock.now());
+        let answer = parts
+            .connections
+            .call(settings.order_at, request, SEND_TIMEOUT);
         let answer = answer.await;
         let read = |answer: http::Response<_>| parts.dialect.duty_answer(answer.status());
         Some(answer.map_or(DutyAnswer::Later, read))
@@ -97,40 +99,40 @@
 
     /// Records the platform's answer. Returns false if this node may no longer act under the
     /// duty, in which case another node may have written the record.
-    async fn take_answer(
+    async fn record_answer(
         &self,
-        progress: &mut Progress,
-        at: usize,
+        state: &mut EpochState,
+        index: usize,
         capacity_type: CapacityType,
         answer: DutyAnswer,
     ) -> Result<bool, StoreError> {
         let now = self.parts.clock.now();
-        let subject = &mut progress.subjects[at];
+        let orders = &mut state.all_orders[index];
         match answer {
-            DutyAnswer::Done => subject.note_done(capacity_type, now),
+            DutyAnswer::Done => orders.record_done(capacity_type, now),
             DutyAnswer::Later => {
-                subject.send_again(capacity_type, now + Self::pause());
+                orders.schedule_retry(capacity_type, now + Self::retry_delay());
                 return Ok(true);
             }
-            DutyAnswer::Unavailable => subject.note_unavailable(capacity_type, now + ASK_AGAIN),
+            DutyAnswer::Unavailable => orders.record_unavailable(capacity_type, now + COOLDOWN),
         }
         // Without this write a successor would repeat an order that was already answered.
-        let Some(epoch) = self.verified(progress.epoch).await else {
+        let Some(epoch) = self.verified(state.epoch).await else {
             return Ok(false);
         };
-        subject.write(&self.parts.store, epoch).await?;
+        orders.write(&self.parts.store, epoch).await?;
         Ok(true)
     }
 
-    fn note_sent(
+    fn log_answer(
         &self,
-        progress: &Progress,
-        at: usize,
+        state: &EpochState,
+        index: usize,
         order: &Order,
-        scaled: &Scaled<'_>,
+        scaled: &ScaledService<'_>,
         answer: DutyAnswer,
     ) {
-        let subject = &progress.subjects[at];
+        let orders = &state.all_orders[index];
         let journal = &self.parts.journal;
         journal.count(match answer {
             DutyAnswer::Done => "scale.ordered",
@@ -145,14 +147,14 @@
         journal.event(
             event,
             &[
-                ("service", &subject.service),
-                ("zone", &subject.zone),
+                ("service", &orders.service),
+                ("zone", &orders.zone),
                 ("kind", &format_args!("{:?}", order.capacity_type)),
                 ("number", &order.count),
                 ("before", &order.before),
                 ("demand", &demand),
                 ("reason", &format_args!("{:?}", order.reason)),
-                ("epoch", &progress.epoch),
+                ("epoch", &state.epoch),
                 ("answer", &format_args!("{answer:?}")),
             ],
         );
--- a/crates/node/src/scaling/subject.rs
+++ b/crates/node/src/scaling/zone_orders.rs
@@ -1,8 +1,8 @@
 //! Orders of one service in one availability zone, and their record in the store.
 //!
-//! **Failure:** a holder sends an order and dies; its successor does not know that order and sends
-//! a different one. **Guard:** an order is written to the store before it is first sent. A
-//! successor reads it there and sends the same one first.
+//! If a holder sent an order and died, a successor that does not know the order would send a
+//! different one. An order is therefore written to the store before it is first sent. A successor
+//! reads it there and sends the same one first.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,14 +17,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::store::Store;
 
-/// The last orders of a subject as stored.
+/// The last orders of a service in a zone as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ZoneOrdersRecord {
     /// Id of the write, by which a holder recognises its own write.
     write: String,
     /// The service.
@@ -47,29 +47,30 @@
 
 /// An order that the platform has not confirmed yet.
 #[derive(Debug, Clone, Copy)]
-pub struct Unconfirmed {
+pub struct UnconfirmedOrder {
     /// The order.
     pub order: Order,
     /// Earliest time at which it is sent.
-    pub from: Instant,
+    pub not_before: Instant,
     /// The order that it replaces; `None` if there was none.
     previous: Option<PlacedOrder>,
 }
 
-/// Orders of one kind of upstream in a zone.
+/// Orders of one capacity type in a zone.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Line {
+pub struct CapacityTypeOrders {
     /// The last order; `None` if the list of upstreams alone counts.
     ordered: Option<PlacedOrder>,
     /// The order that is to be sent, or sent again; `None` if all are confirmed.
-    pub unconfirmed: Option<Unconfirmed>,
-    /// The platform is not asked for more of this kind before this time; `None` if it may be.
+    pub unconfirmed: Option<UnconfirmedOrder>,
+    /// Earliest time at which more of this type are ordered, after the platform had none; `None` if
+    /// there is no limit.
     unavailable_until: Option<Instant>,
 }
 
 /// Orders of one service in one availability zone.
 #[derive(Debug, Clone)]
-pub struct Subject {
+pub struct ZoneOrders {
     /// The service.
     pub service: String,
     /// The availability zone.
@@ -78,11 +79,11 @@
     revision: Option<u64>,
     /// Epoch of the holder that wrote the record.
     epoch: u64,
-    lines: [Line; CAPACITY_TYPES.len()],
+    by_capacity_type: [CapacityTypeOrders; CAPACITY_TYPES.len()],
 }
 
-impl Subject {
-    /// A subject without any order.
+impl ZoneOrders {
+    /// A zone without any order.
     #[must_use]
     pub fn new(service: &str, zone: &str) -> Self {
         Self {
@@ -90,17 +91,17 @@
             zone: zone.to_owned(),
             revision: None,
             epoch: 0,
-            lines: [Line::default(); CAPACITY_TYPES.len()],
+            by_capacity_type: [CapacityTypeOrders::default(); CAPACITY_TYPES.len()],
         }
     }
 
-    /// A subject with a record of an earlier holder. Its orders count after [`Self::take_over`].
+    /// A zone with a record of an earlier holder. Its orders count after [`Self::take_over`].
     #[must_use]
-    pub fn recorded(record: &Record, revision: u64) -> Self {
-        let mut subject = Self::new(&record.service, &record.zone);
-        subject.revision = Some(revision);
-        subject.epoch = record.epoch;
-        subject
+    pub fn from_record(record: &ZoneOrdersRecord, revision: u64) -> Self {
+        let mut zone_orders = Self::new(&record.service, &record.zone);
+        zone_orders.revision = Some(revision);
+        zone_orders.epoch = record.epoch;
+        zone_orders
     }
 
     /// Whether the record was written under a higher epoch than this one.
@@ -115,95 +116,104 @@
             let (count, listed) = (expected.of(capacity_type), listed.of(capacity_type));
             if count > listed {
                 let at = now;
-                self.line_mut(capacity_type).ordered = Some(PlacedOrder { count, listed, at });
+                self.orders_of_mut(capacity_type).ordered = Some(PlacedOrder { count, listed, at });
             }
         }
     }
 
-    /// State of the orders of a kind.
+    /// Orders of a capacity type.
     #[must_use]
-    pub const fn line(&self, capacity_type: CapacityType) -> &Line {
-        &self.lines[capacity_type as usize]
+    pub const fn orders_of(&self, capacity_type: CapacityType) -> &CapacityTypeOrders {
+        &self.by_capacity_type[capacity_type as usize]
     }
 
-    const fn line_mut(&mut self, capacity_type: CapacityType) -> &mut Line {
-        &mut self.lines[capacity_type as usize]
+    const fn orders_of_mut(&mut self, capacity_type: CapacityType) -> &mut CapacityTypeOrders {
+        &mut self.by_capacity_type[capacity_type as usize]
     }
 
-    /// Number last ordered of a kind; `None` if there is no order.
+    /// Number last ordered of a capacity type; `None` if there is no order.
     #[must_use]
-    pub fn last(&self, capacity_type: CapacityType) -> Option<u32> {
-        self.line(capacity_type)
+    pub fn last_count(&self, capacity_type: CapacityType) -> Option<u32> {
+        self.orders_of(capacity_type)
             .ordered
             .map(|ordered| ordered.count)
     }
 
-    /// Adds an order that is to be sent. `listed` is the number of upstreams of its kind now.
-    pub fn order(&mut self, order: Order, listed: u32, now: Instant) {
-        let line = self.line_mut(order.capacity_type);
-        let previous = line.ordered;
-        line.ordered = Some(PlacedOrder {
+    /// Adds an order that is to be sent. `listed` is the present number of upstreams of its type.
+    pub fn place_order(&mut self, order: Order, listed: u32, now: Instant) {
+        let type_orders = self.orders_of_mut(order.capacity_type);
+        let previous = type_orders.ordered;
+        type_orders.ordered = Some(PlacedOrder {
             count: order.count,
             listed,
             at: now,
         });
-        line.unconfirmed = Some(Unconfirmed {
+        type_orders.unconfirmed = Some(UnconfirmedOrder {
             order,
-            from: now,
+            not_before: now,
             previous,
         });
     }
 
     /// Records that the platform has carried out an order.
-    pub fn note_done(&mut self, capacity_type: CapacityType, now: Instant) {
-        let line = self.line_mut(capacity_type);
-        line.unconfirmed = None;
-        if let Some(ordered) = &mut line.ordered {
+    pub fn record_done(&mut self, capacity_type: CapacityType, now: Instant) {
+        let type_orders = self.orders_of_mut(capacity_type);
+        type_orders.unconfirmed = None;
+        if let Some(ordered) = &mut type_orders.ordered {
             ordered.at = now;
         }
     }
 
-    /// Records that the platform has no more of a kind, and that it is not asked before `until`.
-    pub fn note_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
-        let line = self.line_mut(capacity_type);
-        let unconfirmed = line.unconfirmed.take();
-        line.ordered = unconfirmed.and_then(|held| held.previous);
-        line.unavailable_until = Some(until);
+    /// Records that the platform has no more of a type, and that none are ordered before `until`.
+    pub fn record_unavailable(&mut self, capacity_type: CapacityType, until: Instant) {
+        let type_orders = self.orders_of_mut(capacity_type);
+        let unconfirmed = type_orders.unconfirmed.take();
+        type_orders.ordered = unconfirmed.and_then(|order| order.previous);
+        type_orders.unavailable_until = Some(until);
     }
 
-    /// Schedules an order again that got no answer or could not be carried out at the moment.
-    pub fn send_again(&mut self, capacity_type: CapacityType, from: Instant) {
-        if let Some(unconfirmed) = &mut self.line_mut(capacity_type).unconfirmed {
-            unconfirmed.from = from;
+    /// Schedules a retry of an order that got no answer or could not be carried out.
+    pub fn schedule_retry(&mut self, capacity_type: CapacityType, not_before: Instant) {
+        if let Some(unconfirmed) = &mut self.orders_of_mut(capacity_type).unconfirmed {
+            unconfirmed.not_before = not_before;
         }
     }
 
     /// The zone as input for decisions. `boot` is the boot time of an upstream.
     #[must_use]
-    pub fn view(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
-        let is_out = |capacity_type| {
-            let until = self.line(capacity_type).unavailable_until;
+    pub fn zone_state(&self, listed: Counts, price: f64, now: Instant, boot: Duration) -> Zone {
+        let is_unavailable = |capacity_type| {
+            let until = self.orders_of(capacity_type).unavailable_until;
             until.is_some_and(|until| now < until)
         };
         let mut present = listed;
         for capacity_type in CAPACITY_TYPES {
-            if let Some(ordered) = self.line(capacity_type).ordered {
+            if let Some(ordered) = self.orders_of(capacity_type).ordered {
                 *present.of_mut(capacity_type) =
                     ordered.present(listed.of(capacity_type), now, boot);
             }
         }
-        let mut ordered = self.lines.iter().filter_map(|line| line.ordered);
-        let mut unconfirmed = self.lines.iter().filter_map(|line| line.unconfirmed);
-        // Until the platform confirms a reduction it may still have all of that kind.
-        let is_reducing = unconfirmed.any(|held| held.order.count < held.order.before);
-        let is_unconfirmed = self.lines.iter().any(|line| line.unconfirmed.is_some());
+        let mut ordered = self
+            .by_capacity_type
+            .iter()
+            .filter_map(|type_orders| type_orders.ordered);
+        let mut unconfirmed = self
+            .by_capacity_type
+            .iter()
+            .filter_map(|type_orders| type_orders.unconfirmed);
+        // Until the platform confirms a reduction, all upstreams of that type may still exist.
+        let is_reducing = unconfirmed.any(|pending| pending.order.count < pending.order.before);
+        let is_unconfirmed = self
+            .by_capacity_type
+            .iter()
+            .any(|type_orders| type_orders.unconfirmed.is_some());
         Zone {
             price,
             listed,
             present,
-            on_demand_unavailable: is_reducing || is_out(CapacityType::OnDemand),
-            spot_unavailable: is_reducing || is_out(CapacityType::Spot),
-            is_settling: is_unconfirmed || ordered.any(|held| held.is_settling(now, boot)),
+            on_demand_unavailable: is_reducing || is_unavailable(CapacityType::OnDemand),
+            spot_unavailable: is_reducing || is_unavailable(CapacityType::Spot),
+            is_settling: is_unconfirmed || ordered.any(|order| order.is_settling(now, boot)),
             running_requests: 0,
         }
     }
@@ -217,22 +227,22 @@
         if self.is_newer_than(epoch) {
             return Err(StoreError::Conflict);
         }
-        let is_unconfirmed = |capacity_type| self.line(capacity_type).unconfirmed.is_some();
-        let record = Record {
+        let is_unconfirmed = |capacity_type| self.orders_of(capacity_type).unconfirmed.is_some();
+        let record = ZoneOrdersRecord {
             write: store.write_id(),
             service: self.service.clone(),
             zone: self.zone.clone(),
             epoch,
-            on_demand: self.last(CapacityType::OnDemand),
-            spot: self.last(CapacityType::Spot),
+            on_demand: self.last_count(CapacityType::OnDemand),
+            spot: self.last_count(CapacityType::Spot),
             on_demand_unconfirmed: is_unconfirmed(CapacityType::OnDemand),
             spot_unconfirmed: is_unconfirmed(CapacityType::Spot),
         };
-        let (kind, name) = (Kind::ScaleOrders, self.name());
+        let (kind, name) = (ObjectKind::ScaleOrders, self.name());
         self.revision = Some(match self.revision {
             Some(revision) => {
-                let replacing = store.replace(kind, &name, revision, &record, &record.write);
-                replacing.await?.revision
+                let replaced = store.replace(kind, &name, revision, &record, &record.write);
+                replaced.await?.revision
             }
             None => store.create_once(kind, &name, &record).await?,
         });
@@ -245,7 +255,7 @@
     }
 }
 
-impl Record {
+impl ZoneOrdersRecord {
     /// The orders in the record.
     #[must_use]
     pub fn last_orders(&self) -> Vec<RecordedOrder> {
@@ -255,7 +265,7 @@
             self.on_demand_unconfirmed,
         );
         let spot = (CapacityType::Spot, self.spot, self.spot_unconfirmed);
-        let lines = [on_demand, spot].into_iter();
+        let recorded = [on_demand, spot].into_iter();
         let read = |(capacity_type, count, is_unconfirmed): (CapacityType, Option<u32>, bool)| {
             count.map(|count| RecordedOrder {
                 capacity_type,
@@ -263,23 +273,22 @@
                 is_confirmed: !is_unconfirmed,
             })
         };
-        lines.filter_map(read).collect()
+        recorded.filter_map(read).collect()
     }
 }
 
-/// Subjects with their records, sorted by service and zone. Records that cannot be read are
-/// logged.
+/// Orders with their records, sorted by service and zone. Records that cannot be read are logged.
 #[must_use]
-pub fn read_records(objects: &[Object], store: &Store) -> Vec<(Subject, Record)> {
+pub fn read_records(objects: &[Object], store: &Store) -> Vec<(ZoneOrders, ZoneOrdersRecord)> {
     let read = |object: &Object| {
-        let record = serde_json::from_str::<Record>(object.value.get());
+        let record = serde_json::from_str::<ZoneOrdersRecord>(object.value.get());
         if let Err(error) = &record {
-            store.note_unreadable(Kind::ScaleOrders, &object.name, error);
+            store.log_unreadable(ObjectKind::ScaleOrders, &object.name, error);
         }
         let record = record.ok()?;
-        Some((Subject::recorded(&record, object.revision), record))
+        Some((ZoneOrders::from_record(&record, object.revision), record))
     };
-    let mut read: Vec<(Subject, Record)> = objects.iter().filter_map(read).collect();
+    let mut read: Vec<(ZoneOrders, ZoneOrdersRecord)> = objects.iter().filter_map(read).collect();
     read.sort_by(|(a, _), (b, _)| (&a.service, &a.zone).cmp(&(&b.service, &b.zone)));
     read
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node that speak to upstreams have in common.
+//! Dependencies shared by the components of a node that send requests to upstreams.
 
 use std::sync::Arc;
 
@@ -6,39 +6,39 @@
 use firweir::process::log::Journal;
 use firweir_policy::work::ReportedLoad;
 
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::duty::BootClock;
 use crate::fleet::Fleet;
 use crate::interest::Interest;
-use crate::link::Links;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
-use crate::reload::InForce;
-use crate::usage::counting::Counting;
+use crate::reload::CurrentSettings;
+use crate::usage::counter::UsageCounter;
 
-/// Cheap to clone.
+/// Shared dependencies; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shared {
-    /// What the platform is known to say.
+    /// This node's view of the platform.
     pub fleet: Arc<Fleet>,
-    /// What this node wants to know of upstreams.
+    /// Upstreams that this node subscribes to.
     pub interest: Arc<Interest>,
-    /// Translates messages.
+    /// Encodes and decodes messages.
     pub dialect: Arc<dyn Dialect>,
-    /// Connections.
-    pub links: Links,
+    /// Connection pool.
+    pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that counts suspended time.
     pub boot_clock: Arc<dyn BootClock>,
-    /// Settings.
-    pub settings: InForce,
+    /// Settings in force.
+    pub settings: CurrentSettings,
     /// Events and metrics.
     pub journal: Journal,
     /// Counts requests of accounts.
-    pub counting: Counting,
-    /// Mechanisms that are switched off.
-    pub off: Off,
+    pub usage_counter: UsageCounter,
+    /// Mechanisms that are switched on.
+    pub mechanisms: EnabledMechanisms,
 }
 
 impl Shared {
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn usable_load(&self, load: Option<ReportedLoad>) -> Option<ReportedLoad> {
         let mut load = load?;
-        if !self.off.leaves(Mechanism::ToldSpeed) {
+        if !self.mechanisms.is_enabled(Mechanism::ToldSpeed) {
             load.time_percent = None;
         }
         Some(load)
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,5 +1,5 @@
-//! Client of the platform's store. Every write has a condition, and a write
-//! without an answer is settled before its caller goes on.
+//! Client of the platform's store. Every write is conditional, and the outcome of a write
+//! without an answer is determined before its caller goes on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,39 +14,39 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-use crate::detour::Detour;
-use crate::detour::DetourFailure;
-use crate::detour::to_node;
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreAnswer;
 use crate::dialect::StoreCall;
 use crate::dialect::StoreError;
-use crate::link::LinkError;
-use crate::link::Links;
+use crate::store_fallback::FallbackFailure;
+use crate::store_fallback::StoreFallback;
+use crate::store_fallback::to_peer_uri;
 
-/// The store answers in milliseconds; past this it counts as not answering.
+/// Timeout of a call; the store normally answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause before a failed write is tried again, at first and at most. Each call
-/// costs, also in an outage, and an outage takes seconds.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
-const PAUSE_MOST: Duration = Duration::from_millis(800);
+/// First and longest delay before the retry of a failed write. Calls have a cost even during an
+/// outage, and an outage lasts for seconds.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// How a creation ended for certain.
+/// Confirmed outcome of [`Store::create`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Created {
-    /// This write made the object.
-    Now,
-    /// Another write had made it.
-    Before,
+pub enum CreateOutcome {
+    /// This write created the object.
+    Created,
+    /// Another write had created it before.
+    AlreadyExists,
 }
 
-/// The part of every value that names the write which made it.
+/// The part of every stored value that holds the id of the write which made it.
 #[derive(Debug, Deserialize)]
-struct Stamp {
+struct WriteStamp {
     write: String,
 }
 
@@ -54,93 +54,94 @@
 #[derive(Debug, Clone)]
 pub struct Store {
     dialect: Arc<dyn Dialect>,
-    links: Links,
+    connections: ConnectionPool,
     address: SocketAddr,
     clock: Arc<dyn Clock>,
-    writer: Arc<str>,
-    writes: Arc<AtomicU64>,
+    writer_id: Arc<str>,
+    next_write: Arc<AtomicU64>,
     journal: Journal,
-    detour: Detour,
+    fallback: StoreFallback,
 }
 
 impl Store {
-    /// A client that names its writes after `writer`, which no other process has.
+    /// Creates a client whose write ids start with `writer_id`, which has to be unique among all
+    /// processes.
     #[must_use]
     pub fn new(
         dialect: Arc<dyn Dialect>,
-        links: Links,
+        connections: ConnectionPool,
         address: SocketAddr,
         clock: Arc<dyn Clock>,
         journal: Journal,
-        writer: &str,
-        detour: Detour,
+        writer_id: &str,
+        fallback: StoreFallback,
     ) -> Self {
         Self {
             dialect,
-            links,
+            connections,
             address,
             clock,
-            writer: writer.into(),
-            writes: Arc::default(),
+            writer_id: writer_id.into(),
+            next_write: Arc::default(),
             journal,
-            detour,
+            fallback,
         }
     }
 
-    /// Names this process: no other one has it.
+    /// Id of this process, unique among all processes that write.
     #[must_use]
-    pub fn writer(&self) -> &str {
-        &self.writer
+    pub fn writer_id(&self) -> &str {
+        &self.writer_id
     }
 
-    /// A name for the next write.
+    /// A unique id for the next write.
     #[must_use]
     pub fn write_id(&self) -> String {
-        let number = self.writes.fetch_add(1, Ordering::Relaxed);
-        format!("{}-{number}", self.writer)
+        let number = self.next_write.fetch_add(1, Ordering::Relaxed);
+        format!("{}-{number}", self.writer_id)
     }
 
-    /// One call, tried once.
+    /// Makes one call, without a retry.
     ///
     /// # Errors
     ///
-    /// As [`StoreError`] tells.
+    /// Any [`StoreError`].
     pub async fn call(&self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
         let timeout = match call {
             StoreCall::Watch { wait, .. } => *wait + CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
         };
         let started = self.clock.now();
-        let answer = self.call_some_way(call, timeout).await;
-        self.measure(call, started, &answer);
+        let answer = self.call_with_fallback(call, timeout).await;
+        self.record_call(call, started, &answer);
         answer
     }
 
-    /// Asks the store, or a node that can if this one cannot.
-    async fn call_some_way(
+    /// Makes a call directly, or through another node if the store is unavailable to this one.
+    async fn call_with_fallback(
         &self,
         call: &StoreCall,
         timeout: Duration,
     ) -> Result<StoreAnswer, StoreError> {
-        if let Some(node) = self.detour.current(self.clock.now()) {
-            let answer = self.call_through(node, call, timeout).await;
+        if let Some(node) = self.fallback.current(self.clock.now()) {
+            let answer = self.call_through_node(node, call, timeout).await;
             if !is_unavailable(&answer) {
                 return answer;
             }
         }
         let direct = self.call_at(self.address, call, timeout, false).await;
         if !is_unavailable(&direct) {
-            self.detour.is_not_needed();
+            self.fallback.record_direct_success();
             return direct;
         }
-        // A watch that broke off is for its follower, who lists anew.
+        // A watch that broke off is handled by its follower, which lists again.
         if matches!(call, StoreCall::Watch { .. }) {
             return direct;
         }
-        let Some(node) = self.detour.another(self.clock.now()) else {
+        let Some(node) = self.fallback.next_node(self.clock.now()) else {
             return direct;
         };
-        let answer = self.call_through(node, call, timeout).await;
+        let answer = self.call_through_node(node, call, timeout).await;
         if is_unavailable(&answer) {
             return direct;
         }
@@ -148,7 +149,7 @@
         answer
     }
 
-    async fn call_through(
+    async fn call_through_node(
         &self,
         node: SocketAddr,
         call: &StoreCall,
@@ -158,12 +159,14 @@
         let now = self.clock.now();
         match &answer {
             Err(StoreError::Refused(_)) => {
-                self.detour.failed(now, node, DetourFailure::TurnedAway);
+                self.fallback
+                    .record_failure(now, node, FallbackFailure::StoreRefused);
             }
             Err(StoreError::Unreachable | StoreError::Unknown) => {
-                self.detour.failed(now, node, DetourFailure::NoAnswer);
+                self.fallback
+                    .record_failure(now, node, FallbackFailure::NoAnswer);
             }
-            Ok(_) | Err(_) => self.detour.worked(now, node),
+            Ok(_) | Err(_) => self.fallback.record_success(now, node),
         }
         answer
     }
@@ -173,20 +176,20 @@
         to: SocketAddr,
         call: &StoreCall,
         timeout: Duration,
-        through_node: bool,
+        is_through_node: bool,
     ) -> Result<StoreAnswer, StoreError> {
         let mut request = self.dialect.store_request(call);
-        if through_node {
-            to_node(&mut request);
+        if is_through_node {
+            to_peer_uri(&mut request);
         }
-        match self.links.call(to, request, timeout).await {
+        match self.connections.call(to, request, timeout).await {
             Ok(answer) => self.dialect.store_answer(call, &answer),
-            Err(LinkError::Refused | LinkError::NotSent) => Err(StoreError::Unreachable),
-            Err(LinkError::Broken | LinkError::Late) => Err(StoreError::Unknown),
+            Err(CallError::Refused | CallError::NotSent) => Err(StoreError::Unreachable),
+            Err(CallError::Broken | CallError::Late) => Err(StoreError::Unknown),
         }
     }
 
-    fn measure(
+    fn record_call(
         &self,
         call: &StoreCall,
         started: Instant,
@@ -222,8 +225,8 @@
         }
     }
 
-    /// Notes that an object of the system's own is not as the system writes it.
-    pub fn note_unreadable(&self, kind: Kind, name: &str, cause: &serde_json::Error) {
+    /// Logs that an object which the nodes write themselves is malformed.
+    pub fn log_unreadable(&self, kind: ObjectKind, name: &str, cause: &serde_json::Error) {
         self.journal.event(
             "object_unreadable",
             &[
@@ -234,27 +237,31 @@
         );
     }
 
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     ///
     /// The store did not answer.
-    pub async fn read(&self, kind: Kind, name: &str) -> Result<Option<Object>, StoreError> {
-        self.read_as(kind, name, Freshness::Newest).await
+    pub async fn read(&self, kind: ObjectKind, name: &str) -> Result<Option<Object>, StoreError> {
+        self.read_with(kind, name, Freshness::Newest).await
     }
 
-    /// Reads an object as it is or was seconds ago; `None` if there is or was none.
+    /// Reads an object as it is or was some seconds ago; `None` if it does or did not exist.
     ///
     /// # Errors
     ///
     /// The store did not answer.
-    pub async fn read_stale(&self, kind: Kind, name: &str) -> Result<Option<Object>, StoreError> {
-        self.read_as(kind, name, Freshness::Seconds).await
+    pub async fn read_stale(
+        &self,
+        kind: ObjectKind,
+        name: &str,
+    ) -> Result<Option<Object>, StoreError> {
+        self.read_with(kind, name, Freshness::Seconds).await
     }
 
-    async fn read_as(
+    async fn read_with(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         freshness: Freshness,
     ) -> Result<Option<Object>, StoreError> {
@@ -270,65 +277,71 @@
         }
     }
 
-    /// Creates an object, tried until it is certain whether this write or an
-    /// earlier one made it. A store that refuses is not asked again: that is certain.
+    /// Creates an object; retries until it is certain whether this write or an earlier one
+    /// created it. A refusal by the store is certain and not retried.
     ///
-    /// A creation without an answer may still be carried out seconds later.
-    /// Only the same creation, sent again, settles it: it succeeds, or it meets
-    /// the object, which names its write.
+    /// A creation without an answer may still be carried out seconds later. Only the same
+    /// creation, sent again, tells the outcome: it succeeds, or it conflicts with the object,
+    /// which holds the id of the write that made it.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unknown`] if it is open at `until` whether the object will
-    /// appear; any other error says that this write made nothing.
+    /// [`StoreError::Unknown`] if it is unknown at `until` whether the object will exist; with
+    /// any other error this write created nothing.
     pub async fn create<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         value: &T,
-        write: &str,
+        write_id: &str,
         until: Instant,
-    ) -> Result<Created, StoreError> {
+    ) -> Result<CreateOutcome, StoreError> {
         let call = StoreCall::Create {
             kind,
             name: name.to_owned(),
             value: to_raw(value)?,
         };
-        let mut open = false;
-        let mut pause = PAUSE_FIRST;
+        let mut is_unknown = false;
+        let mut delay = INITIAL_RETRY_DELAY;
         loop {
             let failed = match self.call(&call).await {
-                Ok(_) => return Ok(Created::Now),
+                Ok(_) => return Ok(CreateOutcome::Created),
                 Err(StoreError::Conflict) => match self.read(kind, name).await {
-                    Ok(Some(object)) if is_made_by(&object, write) => return Ok(Created::Now),
-                    Ok(Some(_)) => return Ok(Created::Before),
+                    Ok(Some(object)) if is_made_by(&object, write_id) => {
+                        return Ok(CreateOutcome::Created);
+                    }
+                    Ok(Some(_)) => return Ok(CreateOutcome::AlreadyExists),
                     Ok(None) => StoreError::Conflict,
                     Err(error) => error,
                 },
                 Err(error) => error,
             };
             match failed {
-                StoreError::Unknown => open = true,
+                StoreError::Unknown => is_unknown = true,
                 StoreError::Conflict => {}
-                StoreError::Refused(_) | StoreError::Unreachable if open => {}
+                StoreError::Refused(_) | StoreError::Unreachable if is_unknown => {}
                 other => return Err(other),
             }
-            if self.clock.now() + pause >= until {
-                return Err(if open { StoreError::Unknown } else { failed });
+            if self.clock.now() + delay >= until {
+                return Err(if is_unknown {
+                    StoreError::Unknown
+                } else {
+                    failed
+                });
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Creates an object, tried once, and gives its revision.
+    /// Creates an object without a retry, and returns its revision.
     ///
     /// # Errors
     ///
-    /// As [`StoreError`] tells; after [`StoreError::Unknown`] it may yet appear.
+    /// Any [`StoreError`]; after [`StoreError::Unknown`] the object may still be created.
     pub async fn create_once<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         value: &T,
     ) -> Result<u64, StoreError> {
@@ -343,12 +356,12 @@
         }
     }
 
-    /// Removes an object; done as well if there is none.
+    /// Removes an object; succeeds if it does not exist.
     ///
     /// # Errors
     ///
     /// The store did not answer, or the object changed meanwhile.
-    pub async fn remove(&self, kind: Kind, name: &str) -> Result<(), StoreError> {
+    pub async fn remove(&self, kind: ObjectKind, name: &str) -> Result<(), StoreError> {
         let Some(object) = self.read(kind, name).await? else {
             return Ok(());
         };
@@ -363,22 +376,22 @@
         }
     }
 
-    /// Replaces an object that must be at `revision`, and gives it as it is then.
+    /// Replaces an object that must be at `revision`, and returns the new object.
     ///
-    /// A conflict is read back: an earlier try whose answer was lost may have
-    /// made the change.
+    /// After a conflict the object is read: an earlier try whose answer was lost may have made
+    /// the change.
     ///
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if another write came first;
-    /// [`StoreError::Unknown`] if it is open whether this one was made.
+    /// [`StoreError::Unknown`] if it is unknown whether this one was made.
     pub async fn replace<T: Serialize + Sync>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         revision: u64,
         value: &T,
-        write: &str,
+        write_id: &str,
     ) -> Result<Object, StoreError> {
         let call = StoreCall::Replace {
             kind,
@@ -387,12 +400,12 @@
             value: to_raw(value)?,
         };
         let mut failed = StoreError::Unknown;
-        for _ in 0..REPLACE_TRIES {
+        for _ in 0..MAX_REPLACE_TRIES {
             failed = match self.call(&call).await {
                 Ok(StoreAnswer::Object(object)) => return Ok(object),
                 Ok(_) | Err(StoreError::Unknown) => StoreError::Unknown,
                 Err(StoreError::Conflict) => match self.read(kind, name).await? {
-                    Some(object) if is_made_by(&object, write) => return Ok(object),
+                    Some(object) if is_made_by(&object, write_id) => return Ok(object),
                     _ => return Err(StoreError::Conflict),
                 },
                 Err(error) => return Err(error),
@@ -402,11 +415,11 @@
     }
 }
 
-/// Tries of one replacement whose answers are lost: a third of them are in a bad
-/// spell, so that three in a row are rare.
-const REPLACE_TRIES: u32 = 3;
+/// Maximum number of tries of one replacement whose answers are lost. Up to a third of the
+/// answers can be lost for a while, so that three losses in a row are rare.
+const MAX_REPLACE_TRIES: u32 = 3;
 
-/// The store did not do the call, or did not say so: another node may have its ear.
+/// Whether the call was not carried out, or not answered; it may succeed through another node.
 const fn is_unavailable(answer: &Result<StoreAnswer, StoreError>) -> bool {
     let refused = matches!(answer, Err(StoreError::Refused(_)));
     refused || matches!(answer, Err(StoreError::Unreachable | StoreError::Unknown))
@@ -416,6 +429,7 @@
     serde_json::value::to_raw_value(value).map_err(|error| StoreError::Malformed(error.into()))
 }
 
-fn is_made_by(object: &Object, write: &str) -> bool {
-    serde_json::from_str::<Stamp>(object.value.get()).is_ok_and(|stamp| stamp.write == write)
+fn is_made_by(object: &Object, write_id: &str) -> bool {
+    serde_json::from_str::<WriteStamp>(object.value.get())
+        .is_ok_and(|stamp| stamp.write == write_id)
 }
--- a/crates/node/src/submission/accept.rs
+++ b/crates/node/src/submission/accept.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use tokio::sync::watch;
 
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::mechanisms::Mechanism;
 use crate::model::Submission;
@@ -19,7 +19,7 @@
 use crate::respond::empty;
 use crate::respond::reason_of;
 use crate::respond::refusal;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::submission::local::LocalSubmission;
 use crate::submission::manager::Acceptance;
 use crate::submission::manager::AcceptanceEntry;
@@ -37,7 +37,7 @@
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Time for a home node to accept a submission, which takes two writes to a store that may be
-/// slow. After that this node looks for another one.
+/// slow. After that this node looks for another home, or accepts the submission itself.
 const HOME_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Delay after which a trainer may retry a submission that was not stored: store outages last
@@ -58,8 +58,10 @@
 }
 
 impl SubmissionManager {
-    /// Accepts a submission, or forwards it to the home node of its model. A draining node
-    /// accepts nothing, since another one would have to take it over seconds later.
+    /// Accepts a submission, or forwards it to the home node of its model. If the home fails, or
+    /// none is known, another one is looked up; if there is none or it fails too, this node
+    /// accepts. A draining node accepts nothing, since another one would have to take it over
+    /// seconds later.
     pub async fn submit(
         &self,
         posted: &SubmissionRequest<'_>,
@@ -69,7 +71,7 @@
         if self.is_known(&submission.id) {
             return empty(StatusCode::ACCEPTED);
         }
-        if !self.shared.off.leaves(Mechanism::Homes) {
+        if !self.shared.mechanisms.is_enabled(Mechanism::Homes) {
             return self.accept_here(posted, submission, draining, false).await;
         }
         let model = submission.model.clone();
@@ -97,8 +99,8 @@
             .await
     }
 
-    /// Accepts a submission on this node, which becomes the home of its model. If it
-    /// `was_forwarded`, another node may have accepted it without an answer.
+    /// Accepts a submission on this node, which then becomes the home of its model if homes are
+    /// enabled. If it `was_forwarded`, another node may have accepted it without an answer.
     async fn accept_here(
         &self,
         posted: &SubmissionRequest<'_>,
@@ -116,7 +118,7 @@
         let samples = submission.items.len() as u32;
         let answer = self.accept(posted, submission).await;
         let is_home = self.shared.homes.get(&model).as_ref() == Some(&self.shared.this_node);
-        let has_homes = self.shared.off.leaves(Mechanism::Homes);
+        let has_homes = self.shared.mechanisms.is_enabled(Mechanism::Homes);
         if answer.status() == StatusCode::ACCEPTED && !is_home && has_homes {
             self.assign_home(&model, self.shared.this_node.clone(), samples);
         }
@@ -138,9 +140,12 @@
         *request.uri_mut() = posted.head.uri.clone();
         *request.headers_mut() = posted.head.headers.clone();
         remove_framing_headers(request.headers_mut());
-        let call = self.shared.links.call(home.address, request, HOME_TIMEOUT);
+        let call = self
+            .shared
+            .connections
+            .call(home.address, request, HOME_TIMEOUT);
         let runners = &self.shared.runners;
-        let answer = if self.shared.off.leaves(Mechanism::HomePing) {
+        let answer = if self.shared.mechanisms.is_enabled(Mechanism::HomePing) {
             runners.call_while_alive(home.address, call).await
         } else {
             Some(call.await)
@@ -264,7 +269,7 @@
     }
 
     /// Records the number of samples per step, if this node is the home of the model and the
-    /// recorded number is smaller.
+    /// step has enough more samples than recorded.
     fn update_home(&self, submission: &Submission) {
         let homes = &self.shared.homes;
         let (model, samples) = (&submission.model, submission.items.len() as u32);
@@ -305,7 +310,13 @@
             // An existing part is from an earlier attempt of the same submission, whose items
             // are the same in every attempt.
             store
-                .create(Kind::SubmissionParts, &name, &part, &part.write, until)
+                .create(
+                    ObjectKind::SubmissionParts,
+                    &name,
+                    &part,
+                    &part.write,
+                    until,
+                )
                 .await
                 .map_err(|error| match error {
                     // Without a head the submission doesn't run, even if the part was written.
@@ -329,8 +340,14 @@
         };
         let sent = self.shared.boot_clock.since_boot();
         let created = store
-            .create(Kind::Submissions, &submission.id, &head, &head.write, until)
+            .create(
+                ObjectKind::Submissions,
+                &submission.id,
+                &head,
+                &head.write,
+                until,
+            )
             .await?;
-        Ok((created == Created::Now).then_some((head, sent)))
+        Ok((created == CreateOutcome::Created).then_some((head, sent)))
     }
 }
--- a/crates/node/src/submission/forwarding.rs
+++ b/crates/node/src/submission/forwarding.rs
@@ -10,10 +10,10 @@
 use http::StatusCode;
 use http::request;
 
+use crate::connection_pool::CallError;
 use crate::dialect::AskedCall;
 use crate::dialect::Question;
 use crate::dialect::StoreError;
-use crate::link::LinkError;
 use crate::respond::Outcome;
 use crate::respond::empty;
 use crate::respond::refusal;
@@ -52,7 +52,7 @@
                 return answer;
             }
         }
-        let in_outage = origin == RequestOrigin::Client && self.shared.outage.is_on();
+        let in_outage = origin == RequestOrigin::Client && self.shared.outage.is_ongoing();
         if in_outage
             && !self.is_known(id)
             && let Some(answer) = self.ask_homes(question, head).await
@@ -95,7 +95,7 @@
             let forwarding = runners.forward(runner, question, head);
             let Some(answer) = runners.call_while_alive(runner, forwarding).await else {
                 let finding = tokio::spawn(self.clone().find_current_head(known.clone()));
-                // The end needs no runner.
+                // A submission can be ended in the store without its runner (below).
                 if *question == Question::End {
                     break;
                 }
@@ -110,7 +110,7 @@
                 Ok(_) => {}
                 Err(error) => {
                     let replacing = tokio::spawn(self.clone().replace_runner(known.clone(), error));
-                    // The end needs no runner.
+                    // A submission can be ended in the store without its runner (below).
                     if *question == Question::End {
                         break;
                     }
@@ -134,7 +134,7 @@
     /// Returns the current head after the known runner did not answer. Another node may run the
     /// submission by now, or takes it over; if the runner answers after all, the head is `known`.
     ///
-    /// Without the read, a node with an old head, as all nodes have after they started together,
+    /// After a restart of all nodes at once, their heads may be old. Without the read, such a node
     /// would wait for a runner that was replaced long ago until its client disconnects.
     ///
     /// Runs in a task of its own, like [`SubmissionManager::replace_runner`].
@@ -145,7 +145,7 @@
         {
             return newest;
         }
-        let replacing = self.replace_runner(known.clone(), LinkError::Late);
+        let replacing = self.replace_runner(known.clone(), CallError::Late);
         replacing.await.unwrap_or(known)
     }
 
@@ -155,7 +155,7 @@
     /// Runs in a task of its own: a client may disconnect before the runner is known to be down.
     /// If that cancelled the check, the client's next question would reach another node, which
     /// would start it again.
-    async fn replace_runner(self, known: VersionedHead, error: LinkError) -> Option<VersionedHead> {
+    async fn replace_runner(self, known: VersionedHead, error: CallError) -> Option<VersionedHead> {
         let runner = known.head.runner.address;
         if !self.shared.runners.is_down(runner, error).await {
             return None;
@@ -210,7 +210,7 @@
     ///
     /// During a store outage a node can't look up the runner of a submission that it has not
     /// seen before, and a client's questions reach different nodes. A home that doesn't run the
-    /// submission answers with a conflict or, if the store doesn't answer it, as unavailable.
+    /// submission answers 409 (conflict), or 503 (unavailable) if it can't reach the store.
     async fn ask_homes(
         &self,
         question: &Question,
--- a/crates/node/src/submission/home_finder.rs
+++ b/crates/node/src/submission/home_finder.rs
@@ -13,9 +13,9 @@
 use http::Uri;
 use http_body_util::Full;
 
+use crate::connection_pool::CallError;
+use crate::connection_pool::ConnectionPool;
 use crate::follow::Seeds;
-use crate::link::LinkError;
-use crate::link::Links;
 use crate::roster::HOME_PATH;
 use crate::roster::HomeOffer;
 use crate::roster::HomeQuestion;
@@ -36,7 +36,7 @@
     /// Homes that are known.
     pub homes: Homes,
     /// Connections to seed nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The event log.
@@ -49,16 +49,16 @@
     pub async fn find(&self, model: &str, excluded: Option<SocketAddr>) -> Option<NodeRef> {
         let question = HomeQuestion {
             model: model.to_owned(),
-            but: excluded,
+            excluded,
         };
-        let seeds = self.seeds.now();
+        let seeds = self.seeds.current();
         let own = seeds.is_seed.then(|| self.local_offer(&question)).flatten();
         let requests = seeds
             .others
             .iter()
             .map(|seed| self.remote_offer(*seed, &question));
         let offers = join_all(requests).await.into_iter().flatten().chain(own);
-        let best = offers.max_by(|a, b| a.worth().compare(&b.worth()));
+        let best = offers.max_by(|a, b| a.score().compare(&b.score()));
         best.map(|offer| offer.home)
     }
 
@@ -88,7 +88,7 @@
             &[
                 ("model", &question.model),
                 ("home", &offer.home.node),
-                ("share", &offer.share),
+                ("share", &offer.capacity_share),
             ],
         );
         Some(offer)
@@ -98,12 +98,12 @@
         &self,
         seed: SocketAddr,
         question: &HomeQuestion,
-    ) -> Result<Option<HomeOffer>, LinkError> {
-        let body = serde_json::to_vec(question).map_err(|_never| LinkError::NotSent)?;
+    ) -> Result<Option<HomeOffer>, CallError> {
+        let body = serde_json::to_vec(question).map_err(|_never| CallError::NotSent)?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = Uri::from_static(HOME_PATH);
-        let answer = self.links.call(seed, request, SEED_TIMEOUT).await?;
-        serde_json::from_slice(answer.body()).map_err(|_malformed| LinkError::Broken)
+        let answer = self.connections.call(seed, request, SEED_TIMEOUT).await?;
+        serde_json::from_slice(answer.body()).map_err(|_malformed| CallError::Broken)
     }
 }
--- a/crates/node/src/submission/homes.rs
+++ b/crates/node/src/submission/homes.rs
@@ -15,10 +15,10 @@
 use serde::Serialize;
 
 use crate::change::Change;
-use crate::demand::Demands;
-use crate::dialect::Kind;
+use crate::demand::ModelDemands;
 use crate::dialect::Object;
-use crate::roster::Settled;
+use crate::dialect::ObjectKind;
+use crate::roster::HomeAssignment;
 use crate::store::Store;
 use crate::submission::records::NodeRef;
 
@@ -32,7 +32,8 @@
     write: String,
     /// The home node.
     runner: NodeRef,
-    /// Number of samples in a step of the model; missing in records of earlier releases.
+    /// Largest known number of samples in a step of the model; missing in records of earlier
+    /// releases.
     #[serde(default)]
     samples: Option<u32>,
 }
@@ -49,7 +50,7 @@
 pub struct Homes {
     store: Store,
     journal: Journal,
-    demands: Arc<Demands>,
+    demands: Arc<ModelDemands>,
     /// Sorted by model.
     by_model: Arc<ArcSwap<Vec<Home>>>,
 }
@@ -57,7 +58,7 @@
 impl Homes {
     /// Creates it without known homes.
     #[must_use]
-    pub fn new(store: Store, journal: Journal, demands: Arc<Demands>) -> Self {
+    pub fn new(store: Store, journal: Journal, demands: Arc<ModelDemands>) -> Self {
         Self {
             store,
             journal,
@@ -86,9 +87,9 @@
 
     /// Returns the address of each model's home.
     #[must_use]
-    pub fn assignments(&self) -> Vec<Settled> {
+    pub fn assignments(&self) -> Vec<HomeAssignment> {
         let homes = self.by_model.load();
-        let assignments = homes.iter().map(|home| Settled {
+        let assignments = homes.iter().map(|home| HomeAssignment {
             model: home.model.clone(),
             address: home.runner.address,
         });
@@ -100,29 +101,29 @@
         match change {
             Change::All(objects) => objects.iter().for_each(|object| self.put(object)),
             Change::Put(object) => self.put(&object),
-            Change::Gone(_) => {}
+            Change::Removed(_) => {}
         }
     }
 
-    /// Whether a step with so many samples exceeds the number that is recorded for its model.
+    /// Whether a step has enough more samples than recorded for its model to be worth a write.
     #[must_use]
     pub fn exceeds_recorded_samples(&self, model: &str, samples: u32) -> bool {
-        self.demands.has_grown(model, samples)
+        self.demands.exceeds_recorded(model, samples)
     }
 
     /// Makes `runner` the home of a model with `samples` in a step, unless the stored home has
-    /// changed since it was read.
+    /// changed since it was read. If a larger number of samples is known, that is recorded.
     pub async fn assign(&self, model: &str, runner: NodeRef, samples: u32) {
         let name = format!("{PREFIX}{model}");
         let record = HomeRecord {
             write: self.store.write_id(),
             runner: runner.clone(),
-            samples: self.demands.of(model).max(Some(samples)),
+            samples: self.demands.samples_of(model).max(Some(samples)),
         };
         let homes = self.by_model.load();
         let known = homes.iter().find(|home| home.model == model).cloned();
         drop(homes);
-        let (kind, write) = (Kind::Duties, &record.write);
+        let (kind, write) = (ObjectKind::Duties, &record.write);
         let written = match known {
             Some(known) => {
                 let replacing = self
@@ -134,7 +135,7 @@
         };
         match written {
             Ok(revision) => {
-                self.demands.note(model, samples);
+                self.demands.record(model, samples);
                 self.journal
                     .event("home_settled", &[("model", &model), ("home", &runner.node)]);
                 self.insert_if_newer(&Home {
@@ -156,7 +157,7 @@
         match serde_json::from_str::<HomeRecord>(object.value.get()) {
             Ok(record) => {
                 if let Some(samples) = record.samples {
-                    self.demands.note(model, samples);
+                    self.demands.record(model, samples);
                 }
                 self.insert_if_newer(&Home {
                     model: model.to_owned(),
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Stores a home, unless a newer one of its model is known.
+    /// Adds a home to the list in memory, unless a newer one of its model is known.
     fn insert_if_newer(&self, home: &Home) {
         self.by_model.rcu(|homes| {
             let mut homes = Vec::clone(homes);
--- a/crates/node/src/submission/manager.rs
+++ b/crates/node/src/submission/manager.rs
@@ -22,22 +22,22 @@
 use http::request;
 use tokio::sync::watch;
 
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::AskedCall;
 use crate::dialect::Dialect;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
+use crate::dialect::ObjectKind;
 use crate::dialect::Question;
 use crate::dialect::ResultPage;
 use crate::dialect::StoreError;
 use crate::drafting::Drafting;
 use crate::duty::BootClock;
 use crate::follow::list;
-use crate::link::Links;
+use crate::mechanisms::EnabledMechanisms;
 use crate::mechanisms::Mechanism;
-use crate::mechanisms::Off;
 use crate::model::ItemResult;
 use crate::outage::Outage;
-use crate::reload::InForce;
+use crate::reload::CurrentSettings;
 use crate::respond::Outcome;
 use crate::respond::empty;
 use crate::respond::reason_of;
@@ -123,12 +123,12 @@
 pub(in crate::submission) struct Shared {
     pub(in crate::submission) this_node: NodeRef,
     pub(in crate::submission) store: Store,
-    pub(in crate::submission) links: Links,
+    pub(in crate::submission) connections: ConnectionPool,
     pub(in crate::submission) homes: Homes,
     pub(in crate::submission) home_finder: HomeFinder,
     pub(in crate::submission) heads: Heads,
-    pub(in crate::submission) settings: InForce,
-    pub(in crate::submission) off: Off,
+    pub(in crate::submission) settings: CurrentSettings,
+    pub(in crate::submission) mechanisms: EnabledMechanisms,
     pub(in crate::submission) clock: Arc<dyn Clock>,
     pub(in crate::submission) boot_clock: Arc<dyn BootClock>,
     pub(in crate::submission) journal: Journal,
@@ -149,7 +149,7 @@
     /// The platform store.
     pub store: Store,
     /// Connections to other nodes.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// Encodes pages of results.
     pub dialect: Arc<dyn Dialect>,
     /// Generates the samples of items.
@@ -161,9 +161,9 @@
     /// Whether the store refuses this node's calls.
     pub outage: Outage,
     /// Settings, such as how long results stay readable.
-    pub settings: InForce,
-    /// Mechanisms that are switched off.
-    pub off: Off,
+    pub settings: CurrentSettings,
+    /// Mechanisms that are switched on.
+    pub mechanisms: EnabledMechanisms,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The clock that includes suspended time.
@@ -183,17 +183,17 @@
         );
         let shared = Shared {
             heads,
-            runners: Runners::new(parts.links.clone(), Arc::clone(&parts.clock)),
+            runners: Runners::new(parts.connections.clone(), Arc::clone(&parts.clock)),
             this_node: parts.this_node,
             store: parts.store,
-            links: parts.links,
+            connections: parts.connections,
             dialect: parts.dialect,
             drafting: parts.drafting,
             homes: parts.homes,
             home_finder: parts.home_finder,
             outage: parts.outage,
             settings: parts.settings,
-            off: parts.off,
+            mechanisms: parts.mechanisms,
             clock: parts.clock,
             boot_clock: parts.boot_clock,
             journal: parts.journal,
@@ -212,7 +212,7 @@
     pub async fn resume(&self) {
         let store = &self.shared.store;
         let listed = loop {
-            match list(store, Kind::Submissions, Freshness::Seconds).await {
+            match list(store, ObjectKind::Submissions, Freshness::Seconds).await {
                 Ok((objects, _)) => break objects,
                 Err(_) => tokio::time::sleep(RESUME_RETRY_DELAY).await,
             }
@@ -400,10 +400,10 @@
         after: usize,
         wait: Duration,
     ) -> Vec<ItemResult> {
-        if !self.shared.off.leaves(Mechanism::HeldAnswers) {
+        if !self.shared.mechanisms.is_enabled(Mechanism::HeldAnswers) {
             return submission.results(after, wait).await;
         }
-        let due = self.shared.drafting.due_of(&submission.head);
+        let due = self.shared.drafting.due_age(&submission.head);
         let clock = &*self.shared.clock;
         submission.results_held(after, wait, due, clock).await
     }
@@ -454,7 +454,8 @@
     ///
     /// The first read takes a second, and a trainer may end its step through another node
     /// meanwhile. Without the second read, engines would generate samples of an ended step
-    /// until the next read of the head.
+    /// until the next read of the head. If the head is gone or ended by then, the submission
+    /// counts as ended.
     async fn read_submission(
         &self,
         id: &str,
@@ -505,11 +506,11 @@
                 clock: Arc::clone(&clock),
                 journal: journal.clone(),
             };
-            if self.shared.off.leaves(Mechanism::SavedTexts) {
+            if self.shared.mechanisms.is_enabled(Mechanism::SavedTexts) {
                 drop(tokio::spawn(saver.run()));
             }
-            let due = self.shared.drafting.due_of(&submission.head);
-            let paced = self.shared.off.leaves(Mechanism::PacedListing);
+            let due = self.shared.drafting.due_age(&submission.head);
+            let paced = self.shared.mechanisms.is_enabled(Mechanism::PacedListing);
             drop(tokio::spawn(
                 submission.write_log(store, clock, journal, due, paced),
             ));
--- a/crates/node/src/usage/report.rs
+++ b/crates/node/src/usage/report.rs
@@ -1,9 +1,9 @@
 //! Reports usage to the platform, each window once.
 //!
-//! **Failure:** a holder reports a window and dies; its successor has heard a little more or
-//! less, and the platform gets two reports of one window that differ. **Guard:** what is reported
-//! of a window is written to the store before it is first sent, under the window's number.
-//! Whoever comes second finds it there and sends the same.
+//! If a holder reports a window and dies, its successor may have received slightly different
+//! counts, and the platform would get two different reports of one window. A report is therefore
+//! written to the store, under the number of its window, before it is first sent. A successor
+//! reads it there and sends the same one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,76 +14,77 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::connection_pool::ConnectionPool;
 use crate::dialect::Dialect;
 use crate::dialect::DutyAnswer;
 use crate::dialect::Freshness;
-use crate::dialect::Kind;
 use crate::dialect::Object;
+use crate::dialect::ObjectKind;
 use crate::dialect::StoreError;
 use crate::dialect::UsageReport;
 use crate::follow::list;
-use crate::holder::Holder;
-use crate::link::Links;
-use crate::reload::InForce;
+use crate::holder::DutyHolder;
+use crate::reload::CurrentSettings;
 use crate::settings::UsageSettings;
-use crate::store::Created;
+use crate::store::CreateOutcome;
 use crate::store::Store;
-use crate::usage::counting::Counting;
+use crate::usage::counter::UsageCounter;
 use crate::usage::tally::AccountCount;
 use crate::usage::tally::Window;
 
-/// Time between looks at whether a window is due.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Time between two checks whether a window is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether this node has the duty: each wakes up every VM of a fleet.
-const IDLE_LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Time between two checks whether this node has the duty. It is longer than `CHECK_INTERVAL`
+/// because each check wakes up every VM of the fleet.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of the time that a report may take after its window's end at which its counts are
-/// fixed: requests in flight and nodes that answer late are in by then, and the rest is for
-/// a store or platform that is away.
-const SETTLE_PART: f64 = 0.3;
+/// Fraction of the time allowed for a report, after its window's end, at which its counts become
+/// final. By then requests in flight and late messages are counted; the rest of the time is for
+/// a store or platform that is unavailable.
+const SETTLE_FRACTION: f64 = 0.3;
 
-/// A holder that is new fixes nothing before the others have told it what they counted: they
-/// hear of it within a second, and tell it all again.
-const GATHER: Duration = Duration::from_millis(2_500);
+/// Time in which a new holder only collects counts: other nodes learn of it within a second and
+/// send it all of theirs.
+const COLLECTION_TIME: Duration = Duration::from_millis(2_500);
 
-/// A store that is silent is tried for so long before the loop looks anew.
-const FIX_FOR: Duration = Duration::from_secs(1);
+/// Time for which a write to a store that does not answer is tried in one round.
+const STORE_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The platform answers a report in milliseconds.
+/// Timeout of a report; the platform answers within milliseconds.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a report that was not taken.
-const SEND_AGAIN: Duration = Duration::from_millis(500);
+/// Pause after a report that the platform did not accept, or a failed access to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Reports that stay in the store: a successor sends the newest ones again.
-const REPORTS_KEPT: u64 = 12;
+/// Number of reports kept in the store, of which a successor sends the newest ones again.
+const MAX_STORED_REPORTS: u64 = 12;
 
-/// What is reported of one window, as it stands in the store.
+/// Report of one window as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Fixed {
-    /// Names the write that made this value.
+struct WindowReport {
+    /// Id of the write, by which a holder recognises its own write.
     write: String,
     window: Window,
     /// Sorted by account.
     counts: Vec<AccountCount>,
 }
 
-/// What a reporter works with.
+/// Dependencies of a [`UsageReporter`].
 #[derive(Debug)]
-pub struct ReporterParts {
-    /// What all nodes count.
-    pub counting: Counting,
+pub struct UsageReporterParts {
+    /// Counts of all nodes.
+    pub usage_counter: UsageCounter,
     /// The duty of reporting.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// The platform's store.
     pub store: Store,
     /// Connections to the platform.
-    pub links: Links,
-    /// Writes reports.
+    pub connections: ConnectionPool,
+    /// Encodes reports for the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// Settings, with where reports go.
-    pub settings: InForce,
+    /// Settings, which name the address for reports.
+    pub settings: CurrentSettings,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Events.
@@ -92,105 +93,110 @@
 
 /// Reports usage while this node holds the duty.
 #[derive(Debug)]
-pub struct Reporter {
-    parts: ReporterParts,
-    /// True time as this process started.
+pub struct UsageReporter {
+    parts: UsageReporterParts,
+    /// True time at this process's start.
     started: Duration,
 }
 
-/// Where a holder stands.
+/// State of a holder.
 #[derive(Debug)]
 struct Progress {
-    /// The first window whose counts are not fixed yet.
-    next: Window,
+    /// The first window whose counts are not final.
+    next_window: Window,
     /// Reports to send, oldest first.
-    unsent: Vec<Fixed>,
+    unsent: Vec<WindowReport>,
     /// The oldest window whose report may be in the store.
-    oldest: Window,
-    /// Nothing is fixed before this time.
-    gathered: Instant,
+    oldest_window: Window,
+    /// End of the time in which a new holder only collects counts.
+    collect_until: Instant,
 }
 
-impl Reporter {
-    /// Nothing is reported yet.
+impl UsageReporter {
+    /// A reporter that has not reported anything.
     #[must_use]
-    pub fn new(parts: ReporterParts) -> Self {
-        let started = parts.counting.true_time();
+    pub fn new(parts: UsageReporterParts) -> Self {
+        let started = parts.usage_counter.true_time();
         Self { parts, started }
     }
 
-    /// Reports for as long as the process lives, whenever it holds the duty.
+    /// Never returns; reports whenever this node holds the duty.
     pub async fn run(self) {
         let mut progress = None;
-        let mut pause = LOOK_EVERY;
+        let mut pause = CHECK_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
             let settings = self.parts.settings.now();
             let usage = settings.usage.as_ref();
-            let Some(usage) = usage.filter(|_| self.parts.holder.is_held()) else {
+            let Some(usage) = usage.filter(|_| self.parts.holder.holds_duty()) else {
                 progress = None;
-                pause = IDLE_LOOK_EVERY;
+                pause = IDLE_CHECK_INTERVAL;
                 continue;
             };
-            pause = LOOK_EVERY;
+            pause = CHECK_INTERVAL;
             let outcome = match &mut progress {
-                None => self.begin(usage).await.map(|begun| progress = Some(begun)),
-                Some(progress) => self.go_on(progress, usage).await,
+                None => self
+                    .load_progress(usage)
+                    .await
+                    .map(|loaded| progress = Some(loaded)),
+                Some(progress) => self.report_due_windows(progress, usage).await,
             };
             if let Err(error) = outcome {
                 self.parts
                     .journal
                     .event("usage_not_fixed", &[("cause", &error)]);
-                tokio::time::sleep(SEND_AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// Finds out what earlier holders have reported.
-    async fn begin(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
+    /// Reads the reports of earlier holders, and the counts that seed nodes have received.
+    async fn load_progress(&self, usage: &UsageSettings) -> Result<Progress, StoreError> {
         let parts = &self.parts;
-        let (objects, _) = list(&parts.store, Kind::UsageReports, Freshness::Newest).await?;
-        parts.counting.fetch_copies().await;
-        let mut fixed: Vec<Fixed> = objects
+        let (objects, _) = list(&parts.store, ObjectKind::UsageReports, Freshness::Newest).await?;
+        parts.usage_counter.fetch_snapshots().await;
+        let mut reports: Vec<WindowReport> = objects
             .iter()
             .filter_map(|object| self.decode(object))
             .collect();
-        fixed.sort_by_key(|fixed| fixed.window);
-        let now = parts.counting.true_time();
-        let first = match fixed.last() {
+        reports.sort_by_key(|report| report.window);
+        let now = parts.usage_counter.true_time();
+        let first = match reports.last() {
             Some(last) => last.window.next(),
-            None => self.first_ever(usage),
+            None => self.initial_window(usage),
         };
-        let too_late = now.saturating_sub(usage.late() + usage.window());
-        let oldest = fixed.first().map_or(first, |fixed| fixed.window);
-        // An earlier holder may not have come to send the newest ones.
-        fixed.retain(|fixed| fixed.window.end(usage.window()) > too_late);
+        let too_late = now.saturating_sub(usage.due_after() + usage.window());
+        let oldest = reports.first().map_or(first, |report| report.window);
+        // An earlier holder may have died before it sent the newest ones.
+        reports.retain(|report| report.window.end(usage.window()) > too_late);
         Ok(Progress {
-            next: first.max(Window::of(too_late, usage.window())),
-            unsent: fixed,
-            oldest,
-            gathered: parts.clock.now() + GATHER,
+            next_window: first.max(Window::of(too_late, usage.window())),
+            unsent: reports,
+            oldest_window: oldest,
+            collect_until: parts.clock.now() + COLLECTION_TIME,
         })
     }
 
-    /// The window to begin with where none was ever reported.
-    fn first_ever(&self, usage: &UsageSettings) -> Window {
-        let counting = &self.parts.counting;
-        let counted = counting.with_collected(|collected| collected.first());
+    /// The first window to report if none was ever reported.
+    fn initial_window(&self, usage: &UsageSettings) -> Window {
+        let usage_counter = &self.parts.usage_counter;
+        let counted = usage_counter.with_fleet_counts(|counts| counts.first_window());
         let started = Window::of(self.started, usage.window());
         counted.map_or(started, |counted| counted.min(started))
     }
 
-    async fn go_on(
+    async fn report_due_windows(
         &self,
         progress: &mut Progress,
         usage: &UsageSettings,
     ) -> Result<(), StoreError> {
         while self.is_due(progress, usage) {
-            let fixed = self.fix(progress.next).await?;
-            self.parts.counting.note_reported(progress.next);
-            progress.next = progress.next.next();
-            progress.unsent.push(fixed);
+            let report = self.store_report(progress.next_window).await?;
+            self.parts
+                .usage_counter
+                .record_reported(progress.next_window);
+            progress.next_window = progress.next_window.next();
+            progress.unsent.push(report);
         }
         while let Some(first) = progress.unsent.first() {
             if !self.send(first, usage).await {
@@ -198,65 +204,69 @@
             }
             progress.unsent.remove(0);
         }
-        while progress.oldest.0 + REPORTS_KEPT < progress.next.0 {
-            let name = name_of(progress.oldest);
-            self.parts.store.remove(Kind::UsageReports, &name).await?;
-            progress.oldest = progress.oldest.next();
+        while progress.oldest_window.0 + MAX_STORED_REPORTS < progress.next_window.0 {
+            let name = report_name(progress.oldest_window);
+            self.parts
+                .store
+                .remove(ObjectKind::UsageReports, &name)
+                .await?;
+            progress.oldest_window = progress.oldest_window.next();
         }
         Ok(())
     }
 
     fn is_due(&self, progress: &Progress, usage: &UsageSettings) -> bool {
-        let settle = usage.late().mul_f64(SETTLE_PART);
-        let fix_at = progress.next.end(usage.window()) + settle;
+        let settle = usage.due_after().mul_f64(SETTLE_FRACTION);
+        let final_at = progress.next_window.end(usage.window()) + settle;
         let parts = &self.parts;
-        parts.clock.now() >= progress.gathered && parts.counting.true_time() >= fix_at
+        parts.clock.now() >= progress.collect_until && parts.usage_counter.true_time() >= final_at
     }
 
-    /// Fixes what is reported of a window: by this node, or as an earlier holder has.
-    async fn fix(&self, window: Window) -> Result<Fixed, StoreError> {
+    /// Writes the report of a window to the store; if an earlier holder has written one, returns
+    /// that.
+    async fn store_report(&self, window: Window) -> Result<WindowReport, StoreError> {
         let store = &self.parts.store;
         let counts = self
             .parts
-            .counting
-            .with_collected(|collected| collected.sum(window));
-        let fixed = Fixed {
+            .usage_counter
+            .with_fleet_counts(|counts| counts.sum(window));
+        let report = WindowReport {
             write: store.write_id(),
             window,
             counts,
         };
-        let (kind, name) = (Kind::UsageReports, name_of(window));
-        let until = self.parts.clock.now() + FIX_FOR;
+        let (kind, name) = (ObjectKind::UsageReports, report_name(window));
+        let until = self.parts.clock.now() + STORE_WRITE_TIMEOUT;
         match store
-            .create(kind, &name, &fixed, &fixed.write, until)
+            .create(kind, &name, &report, &report.write, until)
             .await?
         {
-            Created::Now => Ok(fixed),
-            Created::Before => {
+            CreateOutcome::Created => Ok(report),
+            CreateOutcome::AlreadyExists => {
                 let object = store.read(kind, &name).await?.ok_or(StoreError::Missing)?;
                 self.decode(&object).ok_or(StoreError::Conflict)
             }
         }
     }
 
-    fn decode(&self, object: &Object) -> Option<Fixed> {
-        let fixed = serde_json::from_str(object.value.get());
-        if let Err(error) = &fixed {
+    fn decode(&self, object: &Object) -> Option<WindowReport> {
+        let report = serde_json::from_str(object.value.get());
+        if let Err(error) = &report {
             let store = &self.parts.store;
-            store.note_unreadable(Kind::UsageReports, &object.name, error);
+            store.log_unreadable(ObjectKind::UsageReports, &object.name, error);
         }
-        fixed.ok()
+        report.ok()
     }
 
-    /// Whether the platform has taken a report.
-    async fn send(&self, fixed: &Fixed, usage: &UsageSettings) -> bool {
+    /// Sends a report and returns whether the platform has accepted it.
+    async fn send(&self, window_report: &WindowReport, usage: &UsageSettings) -> bool {
         let parts = &self.parts;
         let Some(epoch) = parts.holder.verified_epoch().await else {
             return false;
         };
         let report = UsageReport {
-            window: fixed.window,
-            counts: &fixed.counts,
+            window: window_report.window,
+            counts: &window_report.counts,
             holder: parts.holder.name(),
             epoch,
         };
@@ -265,25 +275,35 @@
             return false;
         }
         let answer = parts
-            .links
+            .connections
             .call(usage.report_to, request, SEND_TIMEOUT)
             .await;
         let taken = answer
             .as_ref()
             .is_ok_and(|answer| parts.dialect.duty_answer(answer.status()) == DutyAnswer::Done);
-        self.note_sent(fixed, epoch, taken, usage);
+        self.log_sent(window_report, epoch, taken, usage);
         if !taken {
-            tokio::time::sleep(SEND_AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         taken
     }
 
-    fn note_sent(&self, fixed: &Fixed, epoch: u64, taken: bool, usage: &UsageSettings) {
-        let now = self.parts.counting.true_time();
-        let late = now.saturating_sub(fixed.window.end(usage.window()));
-        let requests: u64 = fixed.counts.iter().map(|count| count.requests).sum();
+    fn log_sent(
+        &self,
+        window_report: &WindowReport,
+        epoch: u64,
+        taken: bool,
+        usage: &UsageSettings,
+    ) {
+        let now = self.parts.usage_counter.true_time();
+        let delay = now.saturating_sub(window_report.window.end(usage.window()));
+        let requests: u64 = window_report
+            .counts
+            .iter()
+            .map(|count| count.requests)
+            .sum();
         let journal = &self.parts.journal;
-        journal.count(match (taken, late > usage.late()) {
+        journal.count(match (taken, delay > usage.due_after()) {
             (false, _) => "usage.not_taken",
             (true, false) => "usage.reported",
             (true, true) => "usage.reported_late",
@@ -291,18 +311,18 @@
         journal.event(
             "usage_sent",
             &[
-                ("window", &fixed.window.0),
-                ("accounts", &fixed.counts.len()),
+                ("window", &window_report.window.0),
+                ("accounts", &window_report.counts.len()),
                 ("requests", &requests),
                 ("epoch", &epoch),
-                ("after_ms", &late.as_millis()),
+                ("after_ms", &delay.as_millis()),
                 ("taken", &taken),
             ],
         );
     }
 }
 
-/// Name of a window's report, in the order of their numbers.
-fn name_of(window: Window) -> String {
+/// Name of a window's report in the store. Names sort like the numbers of windows.
+fn report_name(window: Window) -> String {
     format!("{:012}", window.0)
 }
--- a/crates/node/tests/authentication.rs
+++ b/crates/node/tests/authentication.rs
@@ -1,31 +1,31 @@
-//! Which account a call is for, by its key and by how old the configuration may be.
+//! Tests of authentication by the key of a call and the age of the configuration.
 
 use std::time::Duration;
 
 use firweir_node::account::Accounts;
 use firweir_node::account::ApiKey;
-use firweir_node::account::Declared;
-use firweir_node::authentication::AgeLimits;
-use firweir_node::authentication::Claim;
+use firweir_node::account::DeclaredAccount;
+use firweir_node::authentication::AccessRequest;
+use firweir_node::authentication::ConfigAgeLimits;
+use firweir_node::authentication::ConfigWaitLimits;
 use firweir_node::authentication::Denied;
-use firweir_node::authentication::NewsLimits;
 use firweir_node::authentication::Purpose;
-use firweir_node::authentication::account_of;
+use firweir_node::authentication::authenticate;
 use firweir_node::model::Config;
 
 const APPLY: Duration = Duration::from_secs(3);
 const REVOCATION: Duration = Duration::from_secs(5);
 
-fn declared(name: &str, keys: &[&str]) -> Declared {
+fn declared(name: &str, keys: &[&str]) -> DeclaredAccount {
     let keys = keys.iter().map(|key| ApiKey::new(key.as_bytes()));
-    Declared {
+    DeclaredAccount {
         name: name.to_owned(),
         keys: keys.collect(),
         priority: None,
     }
 }
 
-fn config(accounts: Vec<Declared>) -> Config {
+fn config(accounts: Vec<DeclaredAccount>) -> Config {
     Config {
         version: 1,
         accounts: Accounts::new(accounts),
@@ -65,24 +65,24 @@
         ..PLAIN
     },
     Case {
-        name: "a known key, as old as may be",
+        name: "a known key, at the largest age",
         age_ms: Some(3_750),
         ..PLAIN
     },
     Case {
-        name: "it may have been taken away meanwhile",
+        name: "a known key may have been revoked meanwhile",
         age_ms: Some(3_751),
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
-        name: "it was never known how old the configuration is",
+        name: "the age of the configuration is unknown",
         age_ms: None,
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
-        name: "a trainer reads on while the store is away",
+        name: "a trainer reads on while the store is unavailable",
         purpose: Purpose::Manage,
         age_ms: Some(60_000),
         ..PLAIN
@@ -97,7 +97,7 @@
         name: "an unknown key may be new",
         key: Some("k3"),
         age_ms: Some(3_001),
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
@@ -114,10 +114,10 @@
         ..PLAIN
     },
     Case {
-        name: "no key, and the route may have been opened to all",
+        name: "no key, and the route may have become public",
         key: None,
         age_ms: None,
-        expected: Err(Denied::Unsure),
+        expected: Err(Denied::StaleConfig),
         ..PLAIN
     },
     Case {
@@ -141,7 +141,7 @@
         ..PLAIN
     },
     Case {
-        name: "a key that two accounts have names neither",
+        name: "a key of two accounts is unknown",
         key: Some("both"),
         expected: Err(Denied::UnknownKey),
         ..PLAIN
@@ -149,42 +149,45 @@
 ];
 
 #[test]
-fn whom_a_call_is_for() {
+fn a_call_is_authenticated_by_key_and_age() {
     let config = two_accounts();
-    let limits = AgeLimits::new(APPLY, Some(REVOCATION));
+    let limits = ConfigAgeLimits::new(APPLY, Some(REVOCATION));
     for case in CASES {
         let key = case.key.map(|key| ApiKey::new(key.as_bytes()));
-        let claim = Claim {
+        let access = AccessRequest {
             key: key.as_ref(),
             is_public: case.is_public,
             purpose: case.purpose,
         };
         let age = case.age_ms.map(Duration::from_millis);
-        let account = account_of(&config, claim, age, &limits);
+        let account = authenticate(&config, access, age, &limits);
         assert_eq!(account, case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn without_accounts_or_a_bound_age_does_not_count() {
+fn without_accounts_or_a_revocation_time_the_age_does_not_count() {
     let key = ApiKey::new(b"k1");
-    let claim = Claim {
+    let access = AccessRequest {
         key: Some(&key),
         is_public: false,
         purpose: Purpose::Run,
     };
-    let limits = AgeLimits::new(APPLY, Some(REVOCATION));
+    let limits = ConfigAgeLimits::new(APPLY, Some(REVOCATION));
     let nobody = config(Vec::new());
-    assert_eq!(account_of(&nobody, claim, None, &limits), Ok(None));
-    let limits = AgeLimits::new(APPLY, None);
+    assert_eq!(authenticate(&nobody, access, None, &limits), Ok(None));
+    let limits = ConfigAgeLimits::new(APPLY, None);
     let config = two_accounts();
-    assert_eq!(account_of(&config, claim, None, &limits), Ok(Some("kudu")));
+    assert_eq!(
+        authenticate(&config, access, None, &limits),
+        Ok(Some("kudu"))
+    );
 }
 
-/// A node that hears as often as it asks would refuse calls in turn if its answers
-/// were older than it may serve or deny by.
+/// A node whose polls are all answered must never refuse calls, which it would if a configuration
+/// could get older between two answers than the age limits allow.
 #[test]
-fn a_node_that_hears_as_planned_always_serves() {
+fn a_node_whose_polls_are_answered_always_serves() {
     for apply in [APPLY / 5, APPLY, APPLY * 5] {
         for revocation in [
             None,
@@ -192,11 +195,11 @@
             Some(REVOCATION),
             Some(REVOCATION * 5),
         ] {
-            let limits = AgeLimits::new(apply, revocation);
-            let news = NewsLimits::new(apply, revocation);
-            let oldest = news.watch * 2 + news.hold;
+            let limits = ConfigAgeLimits::new(apply, revocation);
+            let config_waits = ConfigWaitLimits::new(apply, revocation);
+            let oldest = config_waits.max_watch * 2 + config_waits.max_hold;
             assert!(limits.may_serve(Some(oldest)), "{apply:?} {revocation:?}");
-            assert!(oldest < limits.denying, "{apply:?} {revocation:?}");
+            assert!(oldest < limits.max_age_to_deny, "{apply:?} {revocation:?}");
         }
     }
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that a node keeps.
+//! The connection pool of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use firweir::process::clock::SystemClock;
-use firweir_node::link::Links;
+use firweir_node::connection_pool::ConnectionPool;
 use http::Request;
 use http_body_util::Full;
 use tokio::io::AsyncReadExt;
@@ -18,7 +18,7 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nkeep-alive: timeout=60\r\n\r\n";
 
-/// Answers every request until the other side closes.
+/// Answers every request until the peer closes the connection.
 async fn answer(mut stream: TcpStream, open: Arc<AtomicUsize>) {
     let mut request = [0; 1_024];
     while stream.read(&mut request).await.is_ok_and(|read| read > 0) {
@@ -43,16 +43,17 @@
     address
 }
 
-/// A node that ordered weights at thousands of engines kept a connection to each of them,
-/// ran out of descriptors as the pool grew, and took no more callers.
+/// Guards against unbounded idle connections: a node that ordered weights at thousands of engines
+/// kept a connection to each, ran out of file descriptors as engines were added, and accepted no
+/// more callers.
 #[tokio::test]
 async fn idle_connections_are_bounded_in_all() {
     let open = Arc::new(AtomicUsize::new(0));
-    let links = Links::with_idle_most(Arc::new(SystemClock), 2);
+    let connections = ConnectionPool::with_max_idle(Arc::new(SystemClock), 2);
     for _ in 0..5 {
         let to = serve(&open).await;
         let request = Request::new(Full::new(Bytes::new()));
-        let answer = links.call(to, request, Duration::from_secs(5)).await;
+        let answer = connections.call(to, request, Duration::from_secs(5)).await;
         assert_eq!(answer.expect("it is answered").status(), 200);
     }
     for _ in 0..100 {
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -1,24 +1,24 @@
-//! Which follower asks a store that is away.
+//! Only one follower probes an unavailable store.
 
 use std::time::Duration;
 
-use firweir_node::dialect::Kind;
+use firweir_node::dialect::ObjectKind;
 use firweir_node::dialect::StoreError;
 use firweir_node::outage::Outage;
 use http::StatusCode;
 use tokio::time::Instant;
 
-const KINDS: [Kind; 4] = [
-    Kind::Configuration,
-    Kind::Upstreams,
-    Kind::WeightVersions,
-    Kind::Duties,
+const KINDS: [ObjectKind; 4] = [
+    ObjectKind::Configuration,
+    ObjectKind::Upstreams,
+    ObjectKind::WeightVersions,
+    ObjectKind::Duties,
 ];
 
-/// The store turns a node away for 5 s. Each of the node's four followers asked again
-/// each 600 ms, and 73 nodes made 1,300 calls that were all turned away and all priced.
+/// The store refuses a node's calls for 5 s. Without the guard, each of the node's four followers
+/// retried every 600 ms, and 73 nodes made 1,300 calls that were all refused and all charged.
 #[tokio::test(start_paused = true)]
-async fn one_follower_asks_a_store_that_is_away() {
+async fn one_follower_probes_an_unavailable_store() {
     let outage = Outage::default();
     let started = Instant::now();
     let followers = KINDS.map(|kind| {
@@ -26,13 +26,13 @@
         tokio::spawn(async move {
             let mut calls = 0;
             loop {
-                outage.wait(kind).await;
+                outage.wait_while_probed(kind).await;
                 if started.elapsed() >= Duration::from_secs(5) {
-                    outage.answered();
+                    outage.record_answer();
                     return (calls, started.elapsed());
                 }
                 calls += 1;
-                outage.failed(kind, &StoreError::Refused(StatusCode::SERVICE_UNAVAILABLE));
+                outage.record_failure(kind, &StoreError::Refused(StatusCode::SERVICE_UNAVAILABLE));
                 tokio::time::sleep(Duration::from_millis(600)).await;
             }
         })
@@ -43,7 +43,10 @@
         calls += own;
         assert!(back < Duration::from_secs(7), "back after {back:?}");
     }
-    assert!(calls <= 20, "{calls} calls, 36 if each asks for itself");
+    assert!(
+        calls <= 20,
+        "{calls} calls, 36 if each follower retries on its own"
+    );
 }
 
 struct Case {
@@ -53,10 +56,10 @@
 }
 
 #[test]
-fn what_tells_of_an_outage() {
+fn errors_that_indicate_an_outage() {
     let cases = [
         Case {
-            name: "turned away",
+            name: "refused",
             error: StoreError::Refused(StatusCode::TOO_MANY_REQUESTS),
             is_on: true,
         },
@@ -78,9 +81,9 @@
     ];
     for case in cases {
         let outage = Outage::default();
-        outage.failed(Kind::Upstreams, &case.error);
-        assert_eq!(outage.is_on(), case.is_on, "{}", case.name);
-        outage.answered();
-        assert!(!outage.is_on(), "{}", case.name);
+        outage.record_failure(ObjectKind::Upstreams, &case.error);
+        assert_eq!(outage.is_ongoing(), case.is_on, "{}", case.name);
+        outage.record_answer();
+        assert!(!outage.is_ongoing(), "{}", case.name);
     }
 }
--- a/crates/node/tests/reload.rs
+++ b/crates/node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a node runs.
+//! Reloading the settings file while a node runs.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -7,16 +7,16 @@
 
 use firweir::process::clock::RuntimeClock;
 use firweir::process::log::Journal;
-use firweir_node::reload::InForce;
-use firweir_node::reload::Reload;
+use firweir_node::reload::CurrentSettings;
+use firweir_node::reload::SettingsReloader;
 use firweir_node::settings::NodeSettings;
 
-/// A settings file that is removed with it.
+/// A settings file that is deleted when dropped.
 struct File(PathBuf);
 
 impl Drop for File {
     fn drop(&mut self) {
-        // A file that is left behind harms nothing.
+        // A leftover file is harmless.
         drop(std::fs::remove_file(&self.0));
     }
 }
@@ -41,32 +41,35 @@
     )
 }
 
-fn started(file: &File) -> (InForce, Reload) {
+fn started(file: &File) -> (CurrentSettings, SettingsReloader) {
     let settings = NodeSettings::load(file.write(&text("127.0.0.1:2", 3_000, 8)));
-    let in_force = InForce::new(settings.expect("the file is whole"));
+    let current_settings = CurrentSettings::new(settings.expect("the file is whole"));
     let clock = Arc::new(RuntimeClock::starting_at(Duration::from_secs(1)));
     let journal = Journal::new(clock, "vm-1", None).expect("no metrics, no port");
-    (in_force.clone(), Reload::new(in_force, journal))
+    (
+        current_settings.clone(),
+        SettingsReloader::new(current_settings, journal),
+    )
 }
 
 struct Case {
     name: &'static str,
     text: String,
-    /// Something else is in force then.
-    taken: bool,
+    /// The settings in force change.
+    is_changed: bool,
     seed: &'static str,
     lease_ms: u64,
     grace_s: u64,
 }
 
-/// Guards against nodes that go on with seeds which are gone, or take in half of a settings file.
+/// Guards against nodes that keep using removed seeds, or apply half of a settings file.
 #[tokio::test]
 async fn what_a_changed_file_puts_in_force() {
     let cases = [
         Case {
             name: "nothing new",
             text: text("127.0.0.1:2", 3_000, 8),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:2",
             lease_ms: 3_000,
             grace_s: 8,
@@ -74,7 +77,7 @@
         Case {
             name: "another seed",
             text: text("127.0.0.1:3", 3_000, 8),
-            taken: true,
+            is_changed: true,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -82,7 +85,7 @@
         Case {
             name: "half a file",
             text: text("127.0.0.1:4", 9_000, 8)[..80].to_owned(),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -90,7 +93,7 @@
         Case {
             name: "a key of the wrong type",
             text: text("127.0.0.1", 9_000, 8),
-            taken: false,
+            is_changed: false,
             seed: "127.0.0.1:3",
             lease_ms: 3_000,
             grace_s: 8,
@@ -98,19 +101,19 @@
         Case {
             name: "what needs a restart waits for it, the rest does not",
             text: text("127.0.0.1:3", 9_000, 20),
-            taken: true,
+            is_changed: true,
             seed: "127.0.0.1:3",
             lease_ms: 9_000,
             grace_s: 8,
         },
     ];
     let file = File::new("cases");
-    let (in_force, mut reload) = started(&file);
+    let (current_settings, mut reload) = started(&file);
     for case in cases {
         file.write(&case.text);
-        assert_eq!(reload.look(), case.taken, "{}", case.name);
-        assert!(!reload.look(), "{}: once", case.name);
-        let now = in_force.now();
+        assert_eq!(reload.reload_if_changed(), case.is_changed, "{}", case.name);
+        assert!(!reload.reload_if_changed(), "{}: once", case.name);
+        let now = current_settings.now();
         assert_eq!(now.seeds[0].to_string(), case.seed, "{}", case.name);
         assert_eq!(now.lease_ms, case.lease_ms, "{}", case.name);
         let grace = Duration::from_secs(case.grace_s);
@@ -121,9 +124,9 @@
 #[test]
 fn keys_that_wait_for_a_restart_are_named() {
     let file = File::new("keys");
-    let (in_force, _) = started(&file);
+    let (current_settings, _) = started(&file);
     let new = NodeSettings::load(file.write(&text("127.0.0.1:9", 3_000, 20)));
-    let changes = in_force.take(&new.expect("the file is whole"));
-    assert_eq!(changes.in_force, ["seeds"]);
-    assert_eq!(changes.at_restart, ["grace_s"]);
+    let changes = current_settings.apply(&new.expect("the file is whole"));
+    assert_eq!(changes.applied, ["seeds"]);
+    assert_eq!(changes.needs_restart, ["grace_s"]);
 }
--- a/crates/node/tests/scaling.rs
+++ b/crates/node/tests/scaling.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use firweir_node::scaling::inquiry::Inquiries;
-use firweir_node::scaling::subject::Record;
-use firweir_node::scaling::subject::Subject;
+use firweir_node::scaling::report_limiter::ReportLimiter;
+use firweir_node::scaling::zone_orders::ZoneOrders;
+use firweir_node::scaling::zone_orders::ZoneOrdersRecord;
 use firweir_policy::scaling::CapacityType;
 use firweir_policy::scaling::Counts;
 use firweir_policy::scaling::Order;
@@ -13,14 +13,14 @@
 use firweir_policy::scaling_repeats::max_present;
 use serde_json::json;
 
-const BOOT: Duration = Duration::from_secs(4);
+const BOOT_TIME: Duration = Duration::from_secs(4);
 
 const LISTED: Counts = Counts {
     on_demand: 4,
     spot: 2,
 };
 
-fn record(more: &serde_json::Value) -> Record {
+fn record(more: &serde_json::Value) -> ZoneOrdersRecord {
     let mut record = json!({
         "write": "w", "service": "drafts", "zone": "z1", "epoch": 7, "on_demand": 6, "spot": 1,
     });
@@ -29,12 +29,12 @@
     serde_json::from_value(record).expect("well formed")
 }
 
-/// Guards against one kind that grows while a reduction of the other is not confirmed: the zone
-/// would have more than its maximum.
+/// Guards against one capacity type that grows while a reduction of the other is not confirmed:
+/// the zone would have more than its maximum.
 #[test]
 fn nothing_grows_while_a_reduction_is_not_confirmed() {
     let now = Instant::now();
-    let mut subject = Subject::new("drafts", "z1");
+    let mut zone_orders = ZoneOrders::new("drafts", "z1");
     let fewer = Order {
         zone: 0,
         capacity_type: CapacityType::OnDemand,
@@ -42,11 +42,11 @@
         before: 4,
         reason: Reason::TooMany,
     };
-    subject.order(fewer, 4, now);
-    let zone = subject.view(LISTED, 1.0, now, BOOT);
+    zone_orders.place_order(fewer, 4, now);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME);
     assert!(zone.on_demand_unavailable && zone.spot_unavailable);
-    subject.note_done(CapacityType::OnDemand, now);
-    let zone = subject.view(LISTED, 1.0, now, BOOT);
+    zone_orders.record_done(CapacityType::OnDemand, now);
+    let zone = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME);
     assert!(!zone.on_demand_unavailable && !zone.spot_unavailable);
 }
 
@@ -55,7 +55,7 @@
 fn a_record_says_which_orders_are_not_confirmed() {
     let confirmed = |more: serde_json::Value| {
         let orders = record(&more).last_orders();
-        orders.iter().map(|held| held.is_confirmed).collect()
+        orders.iter().map(|order| order.is_confirmed).collect()
     };
     let old: Vec<bool> = confirmed(json!({}));
     assert_eq!(old, [true, true], "an older record does not say");
@@ -68,29 +68,34 @@
 #[test]
 fn orders_of_a_predecessor_count_while_they_boot() {
     let (now, last) = (Instant::now(), record(&json!({})));
-    let mut subject = Subject::recorded(&last, 3);
-    subject.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
-    let present = subject.view(LISTED, 1.0, now, BOOT).present;
+    let mut zone_orders = ZoneOrders::from_record(&last, 3);
+    zone_orders.take_over(max_present(&last.last_orders(), LISTED), LISTED, now);
+    let present = zone_orders.zone_state(LISTED, 1.0, now, BOOT_TIME).present;
     assert_eq!((present.on_demand, present.spot), (6, 2));
-    let present = subject.view(LISTED, 1.0, now + BOOT * 2, BOOT).present;
+    let present = zone_orders
+        .zone_state(LISTED, 1.0, now + BOOT_TIME * 2, BOOT_TIME)
+        .present;
     assert_eq!(present, LISTED, "none came");
 }
 
 /// Guards against a holder that has lost the duty and replaces the record of a newer one.
 #[test]
 fn a_record_of_a_newer_epoch_is_recognised() {
-    let subject = Subject::recorded(&record(&json!({})), 3);
-    assert!(subject.is_newer_than(6));
-    assert!(!subject.is_newer_than(7));
+    let zone_orders = ZoneOrders::from_record(&record(&json!({})), 3);
+    assert!(zone_orders.is_newer_than(6));
+    assert!(!zone_orders.is_newer_than(7));
 }
 
 /// Guards against asking all upstreams in each round while a reduction is wanted but not
 /// possible.
 #[test]
-fn upstreams_are_asked_once_a_boot_time() {
-    let (start, mut inquiries) = (Instant::now(), Inquiries::default());
-    let looks = (0..48).map(|look| start + Duration::from_millis(250) * look);
-    let asked = looks.filter(|now| inquiries.take("drafts", *now, BOOT));
+fn upstreams_are_asked_once_per_boot_time() {
+    let (start, mut report_limiter) = (Instant::now(), ReportLimiter::default());
+    let rounds = (0..48).map(|round| start + Duration::from_millis(250) * round);
+    let asked = rounds.filter(|now| report_limiter.try_acquire("drafts", *now, BOOT_TIME));
     assert_eq!(asked.count(), 3, "in twelve seconds");
-    assert!(inquiries.take("other", start, BOOT), "each service apart");
+    assert!(
+        report_limiter.try_acquire("other", start, BOOT_TIME),
+        "each service apart"
+    );
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,7 +1,7 @@
-//! What a settings file may say.
+//! Tests of loading a settings file.
 
+use firweir_node::mechanisms::EnabledMechanisms;
 use firweir_node::mechanisms::Mechanism;
-use firweir_node::mechanisms::Off;
 use firweir_node::settings::NodeSettings;
 use firweir_node::settings::SettingsError;
 
@@ -18,7 +18,7 @@
     let path = std::env::temp_dir().join(file);
     std::fs::write(&path, text).expect("a settings file can be written");
     let settings = NodeSettings::load(&path);
-    // A file that is left behind harms nothing.
+    // A file that is not removed does no harm.
     drop(std::fs::remove_file(&path));
     settings
 }
@@ -26,26 +26,29 @@
 #[test]
 fn mechanisms_are_switched_off_by_name() {
     let settings = load("known", r#"["moves", "two-sets"]"#).expect("both are known");
-    let off = Off::of(&settings.mechanisms_off);
-    assert!(!off.leaves(Mechanism::Moves));
-    assert!(!off.leaves(Mechanism::TwoSets));
-    assert!(off.leaves(Mechanism::Homes));
+    let mechanisms = EnabledMechanisms::all_except(&settings.mechanisms_off);
+    assert!(!mechanisms.is_enabled(Mechanism::Moves));
+    assert!(!mechanisms.is_enabled(Mechanism::TwoSets));
+    assert!(mechanisms.is_enabled(Mechanism::Homes));
 }
 
 #[test]
 fn an_unknown_mechanism_is_an_error_that_names_it() {
     let error = load("unknown", r#"["movse"]"#).expect_err("it is misspelt");
-    let said = error.to_string();
-    assert!(said.contains("movse") && said.contains("moves"), "{said}");
+    let message = error.to_string();
+    assert!(
+        message.contains("movse") && message.contains("moves"),
+        "{message}"
+    );
 }
 
-/// Guards against orders of upstreams where the platform does not leave these to nodes.
+/// Nodes must not order upstreams if the platform does not leave that duty to them.
 #[test]
 fn upstreams_are_ordered_only_where_the_duty_is_left_to_nodes() {
     let scaling = |name, duties| {
         let orders = r#""scaling": {"order_at": "127.0.0.1:2", "calls_per_s": 50"#;
         let settings = load_with(name, &format!("{orders}{duties}}}"));
-        settings.expect("it is whole").scaling().is_some()
+        settings.expect("no key is missing").scaling().is_some()
     };
     assert!(scaling(
         "left",
@@ -55,7 +58,7 @@
     assert!(!scaling("kept", r#", "duties": ["usage_report"]"#));
 }
 
-/// Guards against a rate of 0, which would stop all orders without an error.
+/// A rate of 0 would stop all orders without an error.
 #[test]
 fn a_rate_of_orders_that_is_not_above_zero_is_an_error() {
     let scaling = r#""scaling": {"order_at": "127.0.0.1:2", "calls_per_s": 0}"#;
@@ -63,8 +66,7 @@
     assert!(error.to_string().contains("calls_per_s"), "{error}");
 }
 
-/// Guards against a rate near 0, with which the pause between two orders overflows and the node
-/// panics.
+/// With a rate near 0 the delay between two orders overflows, and the node panics.
 #[test]
 fn a_rate_of_orders_that_is_too_small_is_an_error() {
     let load = |name, rate: &str| {
--- a/crates/policy/src/occupancy.rs
+++ b/crates/policy/src/occupancy.rs
@@ -56,8 +56,10 @@
 /// The upstreams count as congested while the sum of limits is below this part of all slots.
 const CONGESTED_FRACTION: f64 = 0.25;
 
-/// Range of the random factor on pauses.
+/// Lower bound of the random factor on pauses.
 const MIN_JITTER: f64 = 0.5;
+
+/// Upper bound of the random factor on pauses.
 const MAX_JITTER: f64 = 1.5;
 
 #[derive(Debug, Clone, Copy)]
@@ -173,7 +175,7 @@
     /// Earliest time at which an upstream that has no room now gets some without a call of this
     /// node ending; `None` if there is no such time.
     #[must_use]
-    pub fn next_room(&self, now: Instant) -> Option<Instant> {
+    pub fn next_open_at(&self, now: Instant) -> Option<Instant> {
         let opening = self.upstreams.iter();
         opening
             .filter_map(|upstream| upstream.opens_at(now))
@@ -184,11 +186,11 @@
     /// Estimated room for the queue that `serving` serves. `is_open`: one more call may start
     /// now.
     #[must_use]
-    pub fn room(&self, now: Instant, serving: ServingSlots, is_open: bool) -> Headroom {
+    pub fn headroom(&self, now: Instant, serving: ServingSlots, is_open: bool) -> Headroom {
         let opening = self
             .upstreams
             .iter()
-            .map(|upstream| upstream.expected_room(now));
+            .map(|upstream| upstream.expected_open_at(now));
         let opens = opening.min().filter(|_| !is_open);
         Headroom {
             serving,
@@ -264,7 +266,7 @@
     }
 
     /// When the next call may likely start, be it by time alone or after a call has ended.
-    fn expected_room(&self, now: Instant) -> Instant {
+    fn expected_open_at(&self, now: Instant) -> Instant {
         let paused = self.pause_ends_at(now).max(now);
         if !self.is_at_limit() {
             return paused;
--- a/crates/policy/tests/occupancy.rs
+++ b/crates/policy/tests/occupancy.rs
@@ -63,7 +63,7 @@
     let occupancy = refused(now, Some(24));
     assert!(!occupancy.has_room(now, UPSTREAM));
     assert!(!occupancy.has_room(now + CALL_TIME, UPSTREAM));
-    let opens = occupancy.next_room(now).expect("it opens by time alone");
+    let opens = occupancy.next_open_at(now).expect("it opens by time alone");
     assert!(occupancy.has_room(opens, UPSTREAM));
 }
 
@@ -76,7 +76,7 @@
         occupancy.set_upstreams(&[state(UPSTREAM)]);
         occupancy.record_start(now, UPSTREAM);
         occupancy.record_end(now, UPSTREAM, &ended(Ending::Refused, None));
-        occupancy.next_room(now)
+        occupancy.next_open_at(now)
     };
     assert_ne!(pause(1), pause(2));
 }
@@ -125,7 +125,7 @@
     occupancy.record_start(now, UPSTREAM);
     occupancy.record_end(now, UPSTREAM, &ended(Ending::Abandoned, None));
     assert!(!occupancy.has_room(now, UPSTREAM));
-    let opens = occupancy.next_room(now).expect("it opens by time alone");
+    let opens = occupancy.next_open_at(now).expect("it opens by time alone");
     assert!(opens > now + CALL_TIME);
 }
 
@@ -195,8 +195,8 @@
     dispatcher.offer(now, work(0, 0, now + Duration::from_secs(10)));
     dispatcher.finish(now, WorkKey(0), &ended(Ending::Refused, Some(24)));
     while dispatcher.next_decision().is_some() {}
-    let patience = Duration::from_millis(20);
-    dispatcher.offer(now, work(1, 0, now + patience));
+    let time_to_deadline = Duration::from_millis(20);
+    dispatcher.offer(now, work(1, 0, now + time_to_deadline));
     let refused = dispatcher.next_decision();
     let late = matches!(
         refused,
@@ -211,7 +211,7 @@
 
 /// Guards against a retry delay that ends before there is room: the client is refused again.
 #[test]
-fn refused_callers_are_asked_back_once_room_opens() {
+fn the_retry_delay_covers_the_time_until_room_opens() {
     let now = Instant::now();
     let mut dispatcher = LaneDispatcher::new();
     dispatcher.set_upstreams(now, &[state(UPSTREAM)], &EntryDemands::SINGLE_ENTRY);
